--- a/src/bin/winchvane.rs
+++ b/src/bin/winchvane.rs
@@ -201,8 +201,8 @@
 fn tell(request: Option<&str>, logs: &[PathBuf], output: Output) -> u8 {
     let is_table = output == Output::Table;
     let told = match request {
-        Some(request) => explain::tell_story(request, logs),
-        None => explain::tell_losses(logs),
+        Some(request) => explain::explain_request(request, logs),
+        None => explain::explain_losses(logs),
     };
     let told = match told {
         Ok(told) => told,
--- a/src/explain/line.rs
+++ b/src/explain/line.rs
@@ -10,7 +10,7 @@
 
 /// A line that a process has written.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Line<'a> {
+pub struct LogLine<'a> {
     /// What stood before it in the same line: collected logs name their process there.
     pub prefix: &'a str,
     /// When it was written, in nanoseconds of Unix time.
@@ -21,7 +21,7 @@
     pub fields: Vec<(&'a str, Cow<'a, str>)>,
 }
 
-impl<'a> Line<'a> {
+impl<'a> LogLine<'a> {
     /// Reads a line; none when it is not one of ours or was torn.
     pub fn parse(text: &'a str) -> Option<Self> {
         let text = text.trim_end();
--- a/src/explain/losses.rs
+++ b/src/explain/losses.rs
@@ -4,7 +4,7 @@
 
 use serde_json::{Value, json};
 
-use super::Line;
+use super::LogLine;
 
 /// Losses of this long are counted together.
 const WINDOW_NS: i128 = 2_000_000_000;
@@ -82,7 +82,7 @@
     }
 
     /// Takes a line in.
-    pub fn take(&mut self, line: &Line<'_>) {
+    pub fn add(&mut self, line: &LogLine<'_>) {
         match line.event {
             "answered" => self.answered(line),
             "refused" => {
@@ -108,7 +108,7 @@
         }
     }
 
-    fn answered(&mut self, line: &Line<'_>) {
+    fn answered(&mut self, line: &LogLine<'_>) {
         self.totals.answered += 1;
         if line.millis("status").is_some_and(|status| status >= 400) {
             self.totals.endpoint_errors += 1;
@@ -126,7 +126,7 @@
         }
     }
 
-    fn note(&mut self, line: &Line<'_>, loss: Loss, cause: &str) {
+    fn note(&mut self, line: &LogLine<'_>, loss: Loss, cause: &str) {
         let mut row = Row {
             window: line.at_ns.div_euclid(WINDOW_NS),
             route: line.text("route").to_owned(),
@@ -183,7 +183,7 @@
 
 /// What took the largest part of a late request's time: held at the gateway, for weights or for a
 /// place; expected at the endpoint, behind other prompts; or more than expected there.
-fn late_cause<'a>(line: &'a Line<'_>, after_ms: u64) -> &'a str {
+fn late_cause<'a>(line: &'a LogLine<'_>, after_ms: u64) -> &'a str {
     let held_ms = line.millis("sent_after_ms").unwrap_or(0);
     let expected_ms = line.millis("expected_ms").unwrap_or(0);
     let there_ms = after_ms.saturating_sub(held_ms);
--- a/src/explain/mod.rs
+++ b/src/explain/mod.rs
@@ -10,8 +10,8 @@
 mod story;
 mod telling;
 
-pub use line::Line;
+pub use line::LogLine;
 pub use losses::{Loss, Losses, Totals};
 pub use source::{Read, Source};
 pub use story::Story;
-pub use telling::{Told, tell_losses, tell_story};
+pub use telling::{Told, explain_losses, explain_request};
--- a/src/explain/story.rs
+++ b/src/explain/story.rs
@@ -4,7 +4,7 @@
 
 use serde_json::{Value, json};
 
-use super::Line;
+use super::LogLine;
 
 /// More lines than any request has; a client may send one id again and again.
 const LINES_MAX: usize = 10_000;
@@ -30,7 +30,7 @@
     }
 
     /// Takes a line in that `process` has written.
-    pub fn take(&mut self, process: &str, line: &Line<'_>) {
+    pub fn take(&mut self, process: &str, line: &LogLine<'_>) {
         if line.text("request") != self.request {
             return;
         }
--- a/src/explain/telling.rs
+++ b/src/explain/telling.rs
@@ -6,7 +6,7 @@
 
 use serde_json::Value;
 
-use super::{Line, Losses, Read, Source, Story};
+use super::{LogLine, Losses, Read, Source, Story};
 use crate::error::{Error, Result};
 use crate::operator::to_table;
 
@@ -28,7 +28,7 @@
 ///
 /// # Errors
 /// A log that cannot be read (invalid), or no line that names the request.
-pub fn tell_story(request: &str, logs: &[PathBuf]) -> Result<Told> {
+pub fn explain_request(request: &str, logs: &[PathBuf]) -> Result<Told> {
     let mut story = Story::new(request);
     let skipped_lines = read_logs(logs, |process, line| story.take(process, line))?;
     if story.is_empty() {
@@ -41,9 +41,9 @@
 ///
 /// # Errors
 /// A log that cannot be read (invalid).
-pub fn tell_losses(logs: &[PathBuf]) -> Result<Told> {
+pub fn explain_losses(logs: &[PathBuf]) -> Result<Told> {
     let mut losses = Losses::new();
-    let skipped_lines = read_logs(logs, |_, line| losses.take(line))?;
+    let skipped_lines = read_logs(logs, |_, line| losses.add(line))?;
     let table = to_table(&["second", "route", "loss", "cause", "requests"], &losses.rows());
     let totals = losses.totals();
     let text = format!(
@@ -62,7 +62,7 @@
 
 /// Hands every line of the logs to `take`, with the name of its file; returns how many were none
 /// of ours.
-fn read_logs(logs: &[PathBuf], mut take: impl FnMut(&str, &Line<'_>)) -> Result<u64> {
+fn read_logs(logs: &[PathBuf], mut take: impl FnMut(&str, &LogLine<'_>)) -> Result<u64> {
     let input = [PathBuf::from(STANDARD_INPUT)];
     let mut skipped_lines = 0;
     for path in if logs.is_empty() { &input } else { logs } {
@@ -72,7 +72,7 @@
             match source.advance().map_err(|error| unreadable(path, &error))? {
                 Read::End => break,
                 Read::Skipped => skipped_lines += 1,
-                Read::Line => match Line::parse(source.line()) {
+                Read::Line => match LogLine::parse(source.line()) {
                     Some(line) => take(&process, &line),
                     None => skipped_lines += 1,
                 },
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -3,7 +3,7 @@
 use std::io::{BufReader, Cursor};
 use std::process::{Command, Stdio};
 
-use winchvane::explain::{Line, Losses, Read, Source, Story};
+use winchvane::explain::{LogLine, Losses, Read, Source, Story};
 use yare::parameterized;
 
 const ANSWERED: &str = "ts=2026-10-20T17:10:58.4384Z level=info target=winchvane::relay::report \
@@ -13,12 +13,12 @@
 #[test]
 fn a_line_is_read_with_its_fields() {
     let text = format!("front-1 {ANSWERED}");
-    let line = Line::parse(&text).expect("a line");
+    let line = LogLine::parse(&text).expect("a line");
     assert_eq!((line.prefix, line.event), ("front-1", "answered"));
     assert_eq!((line.text("route"), line.text("weights"), line.text("none")), ("a", "", ""));
     assert_eq!(line.millis("after_ms"), Some(900));
     let quoted = r#"ts=2026-10-20T17:10:58Z event=refused reason="NoPlace(\"endpoints are full\")" after_ms=3"#;
-    let line = Line::parse(quoted).expect("a line");
+    let line = LogLine::parse(quoted).expect("a line");
     assert_eq!(line.text("reason"), "NoPlace(\"endpoints are full\")");
     assert_eq!(line.text("after_ms"), "3");
 }
@@ -33,7 +33,7 @@
     json = { "{\"ts\":\"2026-10-20T17:10:58Z\",\"event\":\"refused\"}" },
 )]
 fn what_is_no_whole_line_is_none(text: &str) {
-    assert_eq!(Line::parse(text), None);
+    assert_eq!(LogLine::parse(text), None);
 }
 
 /// Times have as many digits as they need, so that their text does not sort.
@@ -50,7 +50,7 @@
         ("g1", "ts=2026-10-20T17:10:58.46Z level=info event=retry request=r1 allowed=true"),
     ];
     for (process, text) in lines {
-        story.take(process, &Line::parse(text).expect("a line"));
+        story.take(process, &LogLine::parse(text).expect("a line"));
     }
     let told = story.text();
     let expected = "   +0.000 g1 retry allowed=true\n   +0.000 g1 send_failed detail=\"a b\"\n   \
@@ -72,7 +72,7 @@
         "ts=2026-10-20T17:10:58Z event=answered route=a status=200 objective_ms=400 {fields}"
     );
     let mut losses = Losses::new();
-    losses.take(&Line::parse(&text).expect("a line"));
+    losses.add(&LogLine::parse(&text).expect("a line"));
     let rows = losses.rows();
     let told: Vec<&str> = rows.iter().map(|row| row[3].as_str()).collect();
     assert_eq!(told, if cause.is_empty() { vec![] } else { vec![cause] });
@@ -87,7 +87,7 @@
             "ts=2026-10-20T17:10:{second:02}.1Z event=failed request=x route=a \
              reason=\"step=send request peer={peer}: connection error\" after_ms=5"
         );
-        losses.take(&Line::parse(&text).expect("a line"));
+        losses.add(&LogLine::parse(&text).expect("a line"));
     }
     let rows = losses.rows();
     assert_eq!(rows.len(), 2, "two windows: {rows:?}");
