--- a/src/control/boot.rs
+++ b/src/control/boot.rs
@@ -90,7 +90,7 @@
         clock.now_ms(),
     );
     if let Some(seeds) = &settings.seeds {
-        raft = raft.with_voters(seeds.voters);
+        raft = raft.with_target_voters(seeds.voters);
     }
     let replica_settings = ReplicaSettings {
         instance: settings.common.peers_address().to_string().into(),
--- a/src/control/distribution/mod.rs
+++ b/src/control/distribution/mod.rs
@@ -423,7 +423,7 @@
         }
         for session in self.sessions.values_mut() {
             if session.epoch.is_some() {
-                session.tell_loads(&totals);
+                session.send_loads(&totals);
             }
         }
         self.tell_own_loads(own);
--- a/src/control/raft/leading.rs
+++ b/src/control/raft/leading.rs
@@ -78,7 +78,7 @@
     }
 
     fn has_room_for(&self, now_ms: u64, learner: &Member) -> bool {
-        let Some(wanted) = self.voters_wanted else { return true };
+        let Some(wanted) = self.target_voters else { return true };
         let mut voters = 0;
         for (id, member) in &self.members.0 {
             if !member.voter {
@@ -100,7 +100,7 @@
 
     /// A silent voter that is one too many, or a learner that fell silent.
     fn surplus_voter(&self, now_ms: u64) -> Option<NodeId> {
-        let wanted = self.voters_wanted?;
+        let wanted = self.target_voters?;
         let is_surplus = self.members.voters().count() > wanted;
         for (id, member) in &self.members.0 {
             if member.voter && is_surplus && self.is_silent(now_ms, *id) {
@@ -114,7 +114,7 @@
     ///
     /// It counts from when a round was sent that a majority has answered, so that answers which
     /// were read late, after a pause of the process, prolong nothing.
-    pub fn leader_until_ms(&self) -> u64 {
+    pub fn lease_until_ms(&self) -> u64 {
         let Role::Leader(leading) = &self.role else { return 0 };
         if leading.transfer_to.is_some() || !self.is_settled_leader() {
             return 0;
@@ -354,7 +354,7 @@
     pub(super) fn drop_reads(&mut self) {
         let Role::Leader(leading) = &mut self.role else { return };
         for read in leading.reads.drain(..) {
-            self.output.lost_reads.push(read.token);
+            self.output.failed_reads.push(read.token);
         }
     }
 }
--- a/src/control/raft/mod.rs
+++ b/src/control/raft/mod.rs
@@ -50,7 +50,7 @@
     leader: Option<NodeId>,
     heard_at_ms: Option<u64>,
     election_due_ms: u64,
-    voters_wanted: Option<usize>,
+    target_voters: Option<usize>,
     output: Output,
 }
 
@@ -86,7 +86,7 @@
             leader: None,
             heard_at_ms: None,
             election_due_ms: 0,
-            voters_wanted: None,
+            target_voters: None,
             output: Output::default(),
         };
         raft.find_members();
@@ -99,14 +99,14 @@
 
     /// Keeps `voters` voters: learners beyond them wait until one falls silent.
     #[must_use]
-    pub fn with_voters(mut self, voters: usize) -> Self {
-        self.voters_wanted = Some(voters);
+    pub fn with_target_voters(mut self, voters: usize) -> Self {
+        self.target_voters = Some(voters);
         self
     }
 
     /// True when the group has as many voters as it should.
-    pub fn has_voters_wanted(&self) -> bool {
-        let wanted = self.voters_wanted.unwrap_or(1);
+    pub fn has_target_voters(&self) -> bool {
+        let wanted = self.target_voters.unwrap_or(1);
         self.members.voters().count() >= wanted && self.members_index <= self.commit
     }
 
@@ -439,7 +439,7 @@
     }
 
     /// Tells that everything up to `index` is stored.
-    pub fn persisted(&mut self, index: u64) {
+    pub fn mark_persisted(&mut self, index: u64) {
         self.stable = self.stable.max(index.min(self.last_index()));
         self.advance_commit();
         self.confirm_reads();
--- a/src/control/raft/types.rs
+++ b/src/control/raft/types.rs
@@ -186,7 +186,7 @@
     /// Reads that a majority round has confirmed, with the index they have to see.
     pub reads: Vec<(u64, u64)>,
     /// Reads that failed because leadership was lost.
-    pub lost_reads: Vec<u64>,
+    pub failed_reads: Vec<u64>,
     /// Replicas that need a snapshot; answer with `Raft::send_snapshot`.
     pub need_snapshot: Vec<NodeId>,
 }
--- a/src/control/replica/applying.rs
+++ b/src/control/replica/applying.rs
@@ -21,7 +21,7 @@
             self.apply_entry(entry)?;
         }
         self.publish();
-        for token in std::mem::take(&mut output.lost_reads) {
+        for token in std::mem::take(&mut output.failed_reads) {
             if let Some(read) = self.reads.remove(&token) {
                 self.lose_read(read);
             }
--- a/src/control/replica/registration.rs
+++ b/src/control/replica/registration.rs
@@ -125,7 +125,7 @@
         reply: RpcReplyPort<ControlReply>,
     ) {
         let waits = now_ms < self.registered.leading_since_ms + self.settings.founding_wait_ms;
-        if waits && self.state.registry.routing().is_none() && !self.raft.has_voters_wanted() {
+        if waits && self.state.registry.routing().is_none() && !self.raft.has_target_voters() {
             info!(event = "routing_put_off", reason = "voters are missing");
             let _ = reply.send(ControlReply::NotReady);
             return;
@@ -474,7 +474,7 @@
             self.registered.placement.note_load(endpoint, *load);
         }
         for session in self.sessions.values_mut() {
-            session.tell_loads(&totals);
+            session.send_loads(&totals);
         }
     }
 
--- a/src/control/server.rs
+++ b/src/control/server.rs
@@ -213,7 +213,7 @@
             self.replica.install(&snapshot)?;
             self.save_snapshot(snapshot).await?;
             // The new log file holds everything that this output would have stored.
-            self.replica.raft.persisted(self.replica.raft.last_index());
+            self.replica.raft.mark_persisted(self.replica.raft.last_index());
             return Ok(());
         }
         let batch = Batch {
@@ -228,7 +228,7 @@
         self.metrics.count(Counter::LogSyncs);
         self.metrics.time(Timer::LogSync, self.clock.now_ms() - started_ms);
         if let Some(index) = last_index {
-            self.replica.raft.persisted(index);
+            self.replica.raft.mark_persisted(index);
         }
         Ok(())
     }
--- a/src/control/session.rs
+++ b/src/control/session.rs
@@ -79,7 +79,7 @@
     /// What it has under way, by endpoint.
     pub loads: HashMap<Arc<str>, Load>,
     /// What it was told last of the other gateways' loads, by endpoint.
-    pub loads_told: HashMap<Arc<str>, Load>,
+    pub loads_sent: HashMap<Arc<str>, Load>,
 }
 
 impl Session {
@@ -95,7 +95,7 @@
             renewed_at_ms: None,
             members: BTreeMap::new(),
             loads: HashMap::new(),
-            loads_told: HashMap::new(),
+            loads_sent: HashMap::new(),
         }
     }
 
@@ -235,16 +235,16 @@
 
     /// Tells what all others have under way, for each endpoint where that changed enough to change a
     /// choice.
-    pub fn tell_loads(&mut self, totals: &BTreeMap<Arc<str>, Load>) {
+    pub fn send_loads(&mut self, totals: &BTreeMap<Arc<str>, Load>) {
         let mut changed = Vec::new();
         for (endpoint, total) in totals {
             let own = self.loads.get(endpoint).copied().unwrap_or_default();
             let load = total.minus(own);
-            let told = self.loads_told.get(endpoint).copied().unwrap_or_default();
+            let told = self.loads_sent.get(endpoint).copied().unwrap_or_default();
             if !counts::is_worth_telling(told, load) {
                 continue;
             }
-            self.loads_told.insert(endpoint.clone(), load);
+            self.loads_sent.insert(endpoint.clone(), load);
             changed.push(EndpointLoad { endpoint: endpoint.clone(), load });
         }
         if !changed.is_empty() {
--- a/tests/common/group.rs
+++ b/tests/common/group.rs
@@ -467,11 +467,11 @@
                     self.disk.hard = raft.hard_state();
                     self.disk.entries = raft.entries().cloned().collect();
                     self.disk.snapshot = Some(snapshot);
-                    raft.persisted(raft.last_index());
+                    raft.mark_persisted(raft.last_index());
                 } else {
                     self.disk.save(&output.hard_state, output.truncate_from, &output.append);
                     if let Some(entry) = output.append.last() {
-                        raft.persisted(entry.index);
+                        raft.mark_persisted(entry.index);
                     }
                 }
             }
@@ -493,7 +493,7 @@
                     events.push(format!("{label}: confirmed up to {index}"));
                 }
             }
-            for token in std::mem::take(&mut output.lost_reads) {
+            for token in std::mem::take(&mut output.failed_reads) {
                 if let Some(label) = self.reads.remove(&token) {
                     events.push(format!("{label}: lost"));
                 }
--- a/tests/raft.rs
+++ b/tests/raft.rs
@@ -66,25 +66,25 @@
     let message = Message::AppendReply { matched: true, index: 1, round: 1 };
     raft.receive(5_020, Envelope { from: 2, to: 1, term: 1, message });
     assert_eq!(raft.commit(), 0, "one stored copy of three is no majority");
-    raft.persisted(1);
+    raft.mark_persisted(1);
     assert_eq!(raft.commit(), 1);
 }
 
 /// A leader of three voters with one learner that holds the log.
-fn leader_with_learner(voters_wanted: usize) -> Raft {
+fn leader_with_learner(target_voters: usize) -> Raft {
     let mut members = founders();
     let learner =
         Member { name: "n9".into(), address: ([127, 0, 0, 1], 7_009).into(), voter: false };
     members.0.insert(9, learner);
     let mut raft = Raft::new(1, members, Recovered::default(), Timing::default(), 1, 0)
-        .with_voters(voters_wanted);
+        .with_target_voters(target_voters);
     raft.tick(5_000);
     raft.take_output(5_000);
     for message in [Message::PreVoteReply { granted: true }, Message::VoteReply { granted: true }] {
         raft.receive(5_010, Envelope { from: 2, to: 1, term: 1, message });
         raft.take_output(5_010);
     }
-    raft.persisted(1);
+    raft.mark_persisted(1);
     answer(&mut raft, &[2, 3, 9], 5_020, 1);
     raft
 }
@@ -122,12 +122,12 @@
 #[test]
 fn a_leader_may_act_alone_only_for_a_time_after_it_sent_what_a_majority_answered() {
     let mut raft = leader_with_learner(3);
-    let sent_by_ms = raft.leader_until_ms();
+    let sent_by_ms = raft.lease_until_ms();
     assert!(sent_by_ms <= 5_020 + Timing::default().election_ms);
     // An answer that is read late, say after the process stood still, prolongs nothing.
     let message = Message::AppendReply { matched: true, index: 1, round: 1 };
     raft.receive(60_000, Envelope { from: 3, to: 1, term: 1, message });
-    assert!(raft.leader_until_ms() <= 5_020 + Timing::default().election_ms);
+    assert!(raft.lease_until_ms() <= 5_020 + Timing::default().election_ms);
 }
 
 #[test]
--- a/tests/restarts.rs
+++ b/tests/restarts.rs
@@ -49,7 +49,7 @@
         loop {
             let mut output = self.replica.raft.take_output(self.now_ms);
             let is_idle = !output.must_store() && output.committed.is_empty();
-            self.replica.raft.persisted(self.replica.raft.last_index());
+            self.replica.raft.mark_persisted(self.replica.raft.last_index());
             self.replica.apply(&mut output).expect("entries are readable");
             self.replica.check_leadership(self.now_ms, self.now_ms);
             if is_idle {
