--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -49,11 +49,11 @@
 control="--test control_processes"
 
 mutate "votes only for an up-to-date log" $election 's/\(last_term, last_index\) >= own/true/' $random
-mutate "a vote is stored" $election 's/self\.hard\.vote = Some\(from\);\n\s*self\.hard_changed = true;/self.hard.vote = Some(from);/' --test raft
-mutate "a replica that hears a leader does not vote" $raft 's/Message::Vote \{ transfer, \.\. \} if !transfer \&\& self\.hears_leader\(now_ms\) => return,//' --test raft
+mutate "a vote is stored" $election 's/self\.hard_state\.vote = Some\(from\);\n\s*self\.hard_state_changed = true;/self.hard_state.vote = Some(from);/' --test raft
+mutate "a replica that hears a leader does not vote" $raft 's/Message::Vote \{ transfer, \.\. \} if !transfer \&\& self\.has_active_leader\(now_ms\) => return,//' --test raft
 mutate "a read waits for a majority round" $leading 's/if !self\.members\.has_quorum\(&confirmed\) \{\n\s*return;\n\s*\}//' $scripts control
 mutate "a leader that hears no majority steps down" $leading 's/if !self\.members\.has_quorum\(&heard\)/if false/' $scripts control
-mutate "the leader counts itself only once stored" $leading 's/indexes\.push\(self\.stable\)/indexes.push(self.last_index())/' --test raft
+mutate "the leader counts itself only once stored" $leading 's/indexes\.push\(self\.stable_index\)/indexes.push(self.last_index())/' --test raft
 mutate "a lost claimer leaves its claims unknown" $ledger 's/record\.state = RecordState::Unknown;\n\s*self\.settled\.push_back/self.settled.push_back/' $scripts control
 mutate "keys without a time are never forgotten" $ledger 's/RecordState::Finished\(answer\) => \*answer = None,/RecordState::Finished(_) => { self.records.remove(&key); }/' $scripts control
 mutate "a claim that is sent again is the same" $ledger 's/RecordState::Claimed \{ \.\. \} if record\.claim_id == claim\.claim_id => \{/RecordState::Claimed { .. } if false => {/' $scripts control
--- a/src/control/raft/leading.rs
+++ b/src/control/raft/leading.rs
@@ -1,4 +1,4 @@
-//! What a leader does: replication, commit, reads, membership, handing leadership over.
+//! Leader duties: replication, commit, reads, membership changes and leadership transfer.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -8,35 +8,38 @@
 const MAX_ENTRIES_PER_APPEND: usize = 1_024;
 const MAX_BYTES_PER_APPEND: usize = 4 << 20;
 const SNAPSHOT_RESEND_MS: u64 = 5_000;
-/// A learner this close to the commit index is made a voter.
-const PROMOTION_GAP: u64 = 256;
-/// Rounds whose sending time is remembered; older ones are no longer awaited.
-const ROUNDS_REMEMBERED: usize = 256;
-/// A voter that said nothing for this long gives its place to a learner that holds the log.
-const REPLACED_AFTER_MS: u64 = 1_500;
+/// A learner at most this many entries behind the commit index may become a voter.
+const MAX_PROMOTION_LAG: u64 = 256;
+/// Rounds whose send times are kept for the leader lease; a reply to an older round does not extend
+/// it.
+const MAX_TRACKED_ROUNDS: usize = 256;
+/// A voter that has not replied for this long may be replaced by a learner that has caught up.
+const VOTER_SILENCE_MS: u64 = 1_500;
 
 #[derive(Debug)]
 pub(super) struct Progress {
-    pub(super) matched: u64,
-    pub(super) next: u64,
+    pub(super) match_index: u64,
+    pub(super) next_index: u64,
     pub(super) acked_at_ms: u64,
     pub(super) acked_round: u64,
     pub(super) snapshot_sent_at_ms: Option<u64>,
 }
 
 #[derive(Debug)]
-pub(super) struct Leading {
+pub(super) struct LeaderState {
     pub(super) progress: BTreeMap<NodeId, Progress>,
-    pub(super) first_index: u64,
-    pub(super) round: u64,
-    /// When each recent round was sent, for the leader's lease.
-    pub(super) rounds_sent: VecDeque<(u64, u64)>,
-    /// When the latest round was sent that a majority has answered.
-    pub(super) confirmed_at_ms: Option<u64>,
+    /// Index of the first entry of this leader's term.
+    pub(super) term_start_index: u64,
+    /// Number of the next round of messages to all replicas.
+    pub(super) next_round: u64,
+    /// Recent rounds with their send times, oldest first, for the leader lease.
+    pub(super) round_send_times: VecDeque<(u64, u64)>,
+    /// Send time of the latest round that a quorum has answered.
+    pub(super) quorum_sent_at_ms: Option<u64>,
     pub(super) reads: VecDeque<PendingRead>,
     pub(super) heartbeat_due_ms: u64,
-    pub(super) broadcast: bool,
-    pub(super) transfer_to: Option<NodeId>,
+    pub(super) broadcast_due: bool,
+    pub(super) transfer_target: Option<NodeId>,
 }
 
 #[derive(Debug)]
@@ -47,11 +50,11 @@
 }
 
 impl Raft {
-    /// The next step of replacing a lost replica, if one is due: a learner that holds the log
-    /// becomes a voter, then the replica that had its name before is removed.
+    /// Returns the next membership change, if one is due.
     ///
-    /// Where a number of voters is wanted, a learner beyond it waits until a voter falls silent,
-    /// and takes its place.
+    /// A lost replica is replaced in two steps: a learner that has caught up becomes a voter, then
+    /// the earlier member of the same name is removed. With a target number of voters, a surplus
+    /// learner waits until a voter falls silent and takes its place.
     pub fn next_members(&self, now_ms: u64) -> Option<Members> {
         let Role::Leader(leading) = &self.role else { return None };
         if !self.is_settled_leader() || self.members_index > self.commit {
@@ -62,7 +65,8 @@
                 continue;
             }
             let Some(progress) = leading.progress.get(id) else { continue };
-            if progress.matched + PROMOTION_GAP < self.commit || !self.has_room_for(now_ms, member)
+            if progress.match_index + MAX_PROMOTION_LAG < self.commit
+                || !self.can_promote(now_ms, member)
             {
                 continue;
             }
@@ -70,14 +74,14 @@
             members.0.insert(*id, Member { voter: true, ..member.clone() });
             return Some(members);
         }
-        self.replaced_member().or_else(|| self.surplus_voter(now_ms)).map(|id| {
+        self.duplicate_member().or_else(|| self.surplus_voter(now_ms)).map(|id| {
             let mut members = self.members.clone();
             members.0.remove(&id);
             members
         })
     }
 
-    fn has_room_for(&self, now_ms: u64, learner: &Member) -> bool {
+    fn can_promote(&self, now_ms: u64, learner: &Member) -> bool {
         let Some(wanted) = self.target_voters else { return true };
         let mut voters = 0;
         for (id, member) in &self.members.0 {
@@ -95,10 +99,10 @@
     fn is_silent(&self, now_ms: u64, id: NodeId) -> bool {
         let Role::Leader(leading) = &self.role else { return false };
         let Some(progress) = leading.progress.get(&id) else { return false };
-        progress.acked_at_ms + REPLACED_AFTER_MS <= now_ms
+        progress.acked_at_ms + VOTER_SILENCE_MS <= now_ms
     }
 
-    /// A silent voter that is one too many, or a learner that fell silent.
+    /// A silent voter to remove while there are more voters than the target.
     fn surplus_voter(&self, now_ms: u64) -> Option<NodeId> {
         let wanted = self.target_voters?;
         let is_surplus = self.members.voters().count() > wanted;
@@ -110,19 +114,19 @@
         None
     }
 
-    /// Until when this leader may act alone: no other one can be elected before.
+    /// End of the leader lease, before which no other replica can be elected; 0 without a lease.
     ///
-    /// It counts from when a round was sent that a majority has answered, so that answers which
-    /// were read late, after a pause of the process, prolong nothing.
+    /// The lease starts when a round that a quorum has answered was sent, so that replies which are
+    /// read late, after a pause of the process, do not extend it.
     pub fn lease_until_ms(&self) -> u64 {
         let Role::Leader(leading) = &self.role else { return 0 };
-        if leading.transfer_to.is_some() || !self.is_settled_leader() {
+        if leading.transfer_target.is_some() || !self.is_settled_leader() {
             return 0;
         }
-        leading.confirmed_at_ms.map_or(0, |sent_at_ms| sent_at_ms + self.timing.election_ms)
+        leading.quorum_sent_at_ms.map_or(0, |sent_at_ms| sent_at_ms + self.timing.election_ms)
     }
 
-    fn note_confirmed_round(&mut self) {
+    fn update_lease(&mut self) {
         let quorum = self.members.quorum();
         let is_voter = self.members.is_voter(self.id);
         let voters: Vec<NodeId> = self.members.voters().collect();
@@ -136,22 +140,23 @@
         rounds.sort_unstable_by(|one, other| other.cmp(one));
         let others_needed = quorum - usize::from(is_voter);
         let confirmed = match others_needed.checked_sub(1) {
-            None => leading.round,
+            None => leading.next_round,
             Some(position) => rounds.get(position).copied().unwrap_or(0),
         };
-        while let Some((round, sent_at_ms)) = leading.rounds_sent.front().copied() {
+        while let Some((round, sent_at_ms)) = leading.round_send_times.front().copied() {
             if round > confirmed {
                 break;
             }
-            leading.confirmed_at_ms = Some(sent_at_ms);
-            leading.rounds_sent.pop_front();
+            leading.quorum_sent_at_ms = Some(sent_at_ms);
+            leading.round_send_times.pop_front();
         }
     }
 
-    /// A voter whose name a later voter has taken over: the one that was heard from less recently.
-    pub(super) fn replaced_member(&self) -> Option<NodeId> {
+    /// The member to remove when a voter shares its name with another member: the one that replied
+    /// less recently.
+    pub(super) fn duplicate_member(&self) -> Option<NodeId> {
         let Role::Leader(leading) = &self.role else { return None };
-        let heard = |id: NodeId| {
+        let last_reply_ms = |id: NodeId| {
             if id == self.id {
                 return u64::MAX;
             }
@@ -162,49 +167,54 @@
                 if other_id == id || other.name != member.name || !other.voter {
                     continue;
                 }
-                return Some(if heard(*id) < heard(*other_id) { *id } else { *other_id });
+                return Some(if last_reply_ms(*id) < last_reply_ms(*other_id) {
+                    *id
+                } else {
+                    *other_id
+                });
             }
         }
         None
     }
 
-    /// Asks for a read under `token`; confirmed in `Output::reads` after a majority round.
+    /// Requests a linearizable read. [`Output::reads`] reports `token` once a quorum has answered a
+    /// round sent after this call.
     ///
-    /// False when this replica does not lead or has not yet committed in its term.
+    /// Returns false if this replica does not lead or has not yet committed an entry of its term.
     pub fn request_read(&mut self, token: u64) -> bool {
         if !self.is_settled_leader() {
             return false;
         }
         let index = self.commit;
         let Role::Leader(leading) = &mut self.role else { return false };
-        leading.broadcast = true;
-        let round = leading.round;
+        leading.broadcast_due = true;
+        let round = leading.next_round;
         leading.reads.push_back(PendingRead { token, round, index });
         true
     }
 
-    /// Hands leadership to the replica that holds most of the log, before a planned stop.
+    /// Transfers leadership to the voter with the longest matching log, before a planned stop.
     pub fn transfer_leadership(&mut self) {
         let Role::Leader(leading) = &mut self.role else { return };
         let mut best = None;
         for (id, progress) in &leading.progress {
             if self.members.is_voter(*id)
-                && best.is_none_or(|(_, matched)| progress.matched > matched)
+                && best.is_none_or(|(_, matched)| progress.match_index > matched)
             {
-                best = Some((*id, progress.matched));
+                best = Some((*id, progress.match_index));
             }
         }
-        leading.transfer_to = best.map(|(id, _)| id);
-        leading.broadcast = true;
-        self.try_transfer();
+        leading.transfer_target = best.map(|(id, _)| id);
+        leading.broadcast_due = true;
+        self.continue_transfer();
     }
 
-    pub(super) fn try_transfer(&mut self) {
+    pub(super) fn continue_transfer(&mut self) {
         let Role::Leader(leading) = &self.role else { return };
-        let Some(to) = leading.transfer_to else { return };
-        let matched = leading.progress.get(&to).map_or(0, |progress| progress.matched);
+        let Some(to) = leading.transfer_target else { return };
+        let matched = leading.progress.get(&to).map_or(0, |progress| progress.match_index);
         if matched == self.last_index() {
-            self.send_late(to, Message::TimeoutNow);
+            self.send_after_store(to, Message::TimeoutNow);
         }
     }
 
@@ -217,7 +227,7 @@
             }
         }
         if !self.members.has_quorum(&heard) {
-            self.become_follower(now_ms, self.hard.term, None);
+            self.become_follower(now_ms, self.hard_state.term, None);
         }
     }
 
@@ -235,22 +245,23 @@
         progress.acked_at_ms = now_ms;
         progress.acked_round = progress.acked_round.max(round);
         if matched {
-            progress.matched = progress.matched.max(index);
-            progress.next = progress.next.max(progress.matched + 1);
-            if progress.matched >= self.snapshot_index {
+            progress.match_index = progress.match_index.max(index);
+            progress.next_index = progress.next_index.max(progress.match_index + 1);
+            if progress.match_index >= self.snapshot_index {
                 progress.snapshot_sent_at_ms = None;
             }
-            if progress.next <= last {
-                leading.broadcast = true;
+            if progress.next_index <= last {
+                leading.broadcast_due = true;
             }
         } else {
-            progress.next = (index + 1).min(progress.next).max(progress.matched + 1);
-            leading.broadcast = true;
+            progress.next_index =
+                (index + 1).min(progress.next_index).max(progress.match_index + 1);
+            leading.broadcast_due = true;
         }
         self.advance_commit();
         self.confirm_reads();
-        self.note_confirmed_round();
-        self.try_transfer();
+        self.update_lease();
+        self.continue_transfer();
     }
 
     pub(super) fn advance_commit(&mut self) {
@@ -258,24 +269,24 @@
         let mut indexes = Vec::new();
         for id in self.members.voters() {
             if id == self.id {
-                indexes.push(self.stable);
+                indexes.push(self.stable_index);
                 continue;
             }
-            indexes.push(leading.progress.get(&id).map_or(0, |progress| progress.matched));
+            indexes.push(leading.progress.get(&id).map_or(0, |progress| progress.match_index));
         }
         indexes.sort_unstable_by(|one, other| other.cmp(one));
         let Some(index) = indexes.get(self.members.quorum() - 1).copied() else { return };
-        // Only entries of the own term are committed by counting replicas.
-        if index <= self.commit || self.term_at(index) != Some(self.hard.term) {
+        // Raft commits only entries of the current term by counting replicas.
+        if index <= self.commit || self.term_at(index) != Some(self.hard_state.term) {
             return;
         }
         self.commit = index;
         if !self.members.is_voter(self.id) && self.members_index <= self.commit {
-            self.drop_reads();
+            self.fail_reads();
             self.role = Role::Follower;
             self.leader = None;
         } else if let Role::Leader(leading) = &mut self.role {
-            leading.broadcast = true;
+            leading.broadcast_due = true;
         }
     }
 
@@ -298,16 +309,16 @@
 
     pub(super) fn broadcast(&mut self, now_ms: u64) {
         let Role::Leader(leading) = &mut self.role else { return };
-        if !leading.broadcast {
+        if !leading.broadcast_due {
             return;
         }
-        leading.broadcast = false;
-        // A read asked for from now on needs a round that has not been sent yet.
-        let round = leading.round;
-        leading.round += 1;
-        leading.rounds_sent.push_back((round, now_ms));
-        if leading.rounds_sent.len() > ROUNDS_REMEMBERED {
-            leading.rounds_sent.pop_front();
+        leading.broadcast_due = false;
+        // Reads requested from now on must wait for a round that has not been sent yet.
+        let round = leading.next_round;
+        leading.next_round += 1;
+        leading.round_send_times.push_back((round, now_ms));
+        if leading.round_send_times.len() > MAX_TRACKED_ROUNDS {
+            leading.round_send_times.pop_front();
         }
         let peers: Vec<NodeId> = leading.progress.keys().copied().collect();
         for to in peers {
@@ -320,16 +331,16 @@
         let snapshot_index = self.snapshot_index;
         let Role::Leader(leading) = &mut self.role else { return };
         let Some(progress) = leading.progress.get_mut(&to) else { return };
-        if progress.next <= snapshot_index {
+        if progress.next_index <= snapshot_index {
             let due =
                 progress.snapshot_sent_at_ms.is_none_or(|sent| sent + SNAPSHOT_RESEND_MS <= now_ms);
             if due {
                 progress.snapshot_sent_at_ms = Some(now_ms);
                 self.output.need_snapshot.push(to);
             }
-            progress.next = snapshot_index + 1;
+            progress.next_index = snapshot_index + 1;
         }
-        let prev_index = progress.next - 1;
+        let prev_index = progress.next_index - 1;
         let mut entries = Vec::new();
         let mut size_bytes = 0;
         let skip = usize::try_from(prev_index - snapshot_index).unwrap_or(usize::MAX);
@@ -340,18 +351,18 @@
             }
             entries.push(entry.clone());
         }
-        progress.next += entries.len() as u64;
+        progress.next_index += entries.len() as u64;
         let prev_term = self.term_at(prev_index).unwrap_or(0);
         let commit = self.commit;
         let message = Message::Append { prev_index, prev_term, entries, commit, round };
-        let envelope = Envelope { from: self.id, to, term: self.hard.term, message };
-        // A leader's own entries may be under way to others before they are on its own disk: it
-        // counts itself only once they are.
-        if self.hard_changed { &mut self.output.late } else { &mut self.output.early }
+        let envelope = Envelope { from: self.id, to, term: self.hard_state.term, message };
+        // Entries may be sent before they are on the leader's own disk; the leader counts itself
+        // towards the quorum only once they are.
+        if self.hard_state_changed { &mut self.output.late } else { &mut self.output.early }
             .push(envelope);
     }
 
-    pub(super) fn drop_reads(&mut self) {
+    pub(super) fn fail_reads(&mut self) {
         let Role::Leader(leading) = &mut self.role else { return };
         for read in leading.reads.drain(..) {
             self.output.failed_reads.push(read.token);
@@ -360,7 +371,13 @@
 }
 
 impl Progress {
-    pub(super) fn new(next: u64, now_ms: u64) -> Self {
-        Self { matched: 0, next, acked_at_ms: now_ms, acked_round: 0, snapshot_sent_at_ms: None }
+    pub(super) fn new(next_index: u64, now_ms: u64) -> Self {
+        Self {
+            match_index: 0,
+            next_index,
+            acked_at_ms: now_ms,
+            acked_round: 0,
+            snapshot_sent_at_ms: None,
+        }
     }
 }
--- a/src/control/raft/mod.rs
+++ b/src/control/raft/mod.rs
@@ -1,10 +1,9 @@
-//! The replicated log: elections, replication, commit, snapshots and membership.
+//! Raft consensus for the replicated log: elections, replication, commit, snapshots and membership.
 //!
-//! [`Raft`] is a state machine without clock or input and output. Each call takes the present time;
-//! what has to be stored, sent and applied is collected and fetched with
-//! [`Raft::take_output`]. The rules are those of Raft with pre-vote, a leader that steps down when
-//! it hears from no majority, reads confirmed by a majority round, and one membership change at a
-//! time.
+//! [`Raft`] does no I/O and reads no clock. Each call takes the current time; what has to be
+//! stored, sent and applied is collected and returned by [`Raft::take_output`]. The protocol is
+//! Raft with pre-vote, a leader that steps down when it hears from no quorum, reads that a quorum
+//! confirms, and one membership change at a time.
 
 mod election;
 mod leading;
@@ -15,7 +14,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-use leading::{Leading, Progress};
+use leading::{LeaderState, Progress};
 pub use types::{
     Entry, Envelope, HardState, Member, Members, Message, NodeId, Output, Payload, Recovered,
     Snapshot, Timing,
@@ -26,36 +25,37 @@
     Follower,
     PreCandidate(BTreeSet<NodeId>),
     Candidate(BTreeSet<NodeId>),
-    Leader(Box<Leading>),
+    Leader(Box<LeaderState>),
 }
 
-/// One replica's part of the protocol.
+/// Protocol state of one replica.
 #[derive(Debug)]
 pub struct Raft {
     id: NodeId,
     timing: Timing,
     rng: SmallRng,
-    hard: HardState,
-    hard_changed: bool,
+    hard_state: HardState,
+    hard_state_changed: bool,
     snapshot_index: u64,
     snapshot_term: u64,
     snapshot_members: Members,
     entries: VecDeque<Entry>,
-    stable: u64,
+    stable_index: u64,
     members: Members,
     members_index: u64,
     commit: u64,
-    delivered: u64,
+    delivered_index: u64,
     role: Role,
     leader: Option<NodeId>,
-    heard_at_ms: Option<u64>,
+    leader_heard_at_ms: Option<u64>,
     election_due_ms: u64,
     target_voters: Option<usize>,
     output: Output,
 }
 
 impl Raft {
-    /// A replica with what it found on its disk; `founders` are the members when it found nothing.
+    /// Creates a replica from its stored state; `founders` are the members if no snapshot is
+    /// stored.
     pub fn new(
         id: NodeId,
         founders: Members,
@@ -66,63 +66,63 @@
     ) -> Self {
         let (snapshot_index, snapshot_term, snapshot_members) =
             recovered.snapshot.unwrap_or((0, 0, founders));
-        let stable = recovered.entries.last().map_or(snapshot_index, |entry| entry.index);
+        let stable_index = recovered.entries.last().map_or(snapshot_index, |entry| entry.index);
         let mut raft = Self {
             id,
             timing,
             rng: SmallRng::seed_from_u64(seed ^ id),
-            hard: recovered.hard_state,
-            hard_changed: false,
+            hard_state: recovered.hard_state,
+            hard_state_changed: false,
             snapshot_index,
             snapshot_term,
             members: snapshot_members.clone(),
             members_index: snapshot_index,
             snapshot_members,
             entries: recovered.entries.into(),
-            stable,
+            stable_index,
             commit: snapshot_index,
-            delivered: snapshot_index,
+            delivered_index: snapshot_index,
             role: Role::Follower,
             leader: None,
-            heard_at_ms: None,
+            leader_heard_at_ms: None,
             election_due_ms: 0,
             target_voters: None,
             output: Output::default(),
         };
-        raft.find_members();
-        raft.reset_election(now_ms);
-        if raft.hard.term > 0 {
-            raft.stand_soon(now_ms);
+        raft.reload_members();
+        raft.reset_election_timeout(now_ms);
+        if raft.hard_state.term > 0 {
+            raft.shorten_election_timeout(now_ms);
         }
         raft
     }
 
-    /// Keeps `voters` voters: learners beyond them wait until one falls silent.
+    /// Sets the target number of voters; learners beyond it wait until a voter falls silent.
     #[must_use]
     pub fn with_target_voters(mut self, voters: usize) -> Self {
         self.target_voters = Some(voters);
         self
     }
 
-    /// True when the group has as many voters as it should.
+    /// True if the group has the target number of voters and its latest membership is committed.
     pub fn has_target_voters(&self) -> bool {
         let wanted = self.target_voters.unwrap_or(1);
         self.members.voters().count() >= wanted && self.members_index <= self.commit
     }
 
-    /// This replica's identity.
+    /// This replica's id.
     pub fn id(&self) -> NodeId {
         self.id
     }
 
-    /// How long others wait for a leader that says nothing before they elect another one.
+    /// Shortest time without messages from a leader after which replicas start an election.
     pub fn election_ms(&self) -> u64 {
         self.timing.election_ms
     }
 
     /// The current term.
     pub fn term(&self) -> u64 {
-        self.hard.term
+        self.hard_state.term
     }
 
     /// The leader of the current term, if known.
@@ -137,7 +137,7 @@
 
     /// True when this replica leads and has committed an entry of its own term.
     pub fn is_settled_leader(&self) -> bool {
-        matches!(&self.role, Role::Leader(leading) if self.commit >= leading.first_index)
+        matches!(&self.role, Role::Leader(leading) if self.commit >= leading.term_start_index)
     }
 
     /// The commit index.
@@ -155,7 +155,7 @@
         self.snapshot_index
     }
 
-    /// The members now in force.
+    /// The latest members in the log, which apply before they are committed.
     pub fn members(&self) -> &Members {
         &self.members
     }
@@ -174,20 +174,21 @@
         self.entries.get(usize::try_from(position).ok()?)
     }
 
-    /// Proposes `payload`; the index and term it got, or nothing when this replica does not lead.
+    /// Proposes `payload` and returns its index and term, or `None` if this replica does not lead
+    /// or is transferring leadership.
     pub fn propose(&mut self, payload: Payload) -> Option<(u64, u64)> {
         let Role::Leader(leading) = &mut self.role else { return None };
-        if leading.transfer_to.is_some() {
+        if leading.transfer_target.is_some() {
             return None;
         }
-        leading.broadcast = true;
+        leading.broadcast_due = true;
         let index = self.last_index() + 1;
-        let term = self.hard.term;
+        let term = self.hard_state.term;
         self.append_entry(Entry { index, term, payload });
         Some((index, term))
     }
 
-    /// Proposes other members; refused while an earlier change is not committed.
+    /// Proposes new members; refused while an earlier membership change is not committed.
     pub fn propose_members(&mut self, members: Members) -> Option<(u64, u64)> {
         if !self.is_settled_leader() || self.members_index > self.commit {
             return None;
@@ -195,13 +196,13 @@
         self.propose(Payload::Members(members))
     }
 
-    /// Lets time pass.
+    /// Sends heartbeats and checks the quorum on a leader; starts a due election otherwise.
     pub fn tick(&mut self, now_ms: u64) {
         match &mut self.role {
             Role::Leader(leading) => {
                 if now_ms >= leading.heartbeat_due_ms {
                     leading.heartbeat_due_ms = now_ms + self.timing.heartbeat_ms;
-                    leading.broadcast = true;
+                    leading.broadcast_due = true;
                 }
                 self.check_quorum(now_ms);
             }
@@ -212,32 +213,32 @@
         }
     }
 
-    /// Takes a message in.
+    /// Processes a message from another replica.
     pub fn receive(&mut self, now_ms: u64, envelope: Envelope) {
         let Envelope { from, term, message, .. } = envelope;
         match message {
             Message::PreVote { last_index, last_term } => {
-                let granted = term > self.hard.term
-                    && !self.hears_leader(now_ms)
-                    && self.is_up_to_date(last_index, last_term);
-                // The answer carries the term asked for when granted, so that a candidate with an
-                // old term is not pushed up by answers to its own question.
-                let reply_term = if granted { term } else { self.hard.term };
-                self.send_late_in(reply_term, from, Message::PreVoteReply { granted });
+                let granted = term > self.hard_state.term
+                    && !self.has_active_leader(now_ms)
+                    && self.is_log_up_to_date(last_index, last_term);
+                // A granted reply carries the requested term, so that replies to its own pre-vote
+                // do not raise the term of a candidate whose term is old.
+                let reply_term = if granted { term } else { self.hard_state.term };
+                self.send_after_store_in(reply_term, from, Message::PreVoteReply { granted });
                 return;
             }
             Message::PreVoteReply { granted } => {
                 self.on_pre_vote_reply(now_ms, from, term, granted);
                 return;
             }
-            Message::Vote { transfer, .. } if !transfer && self.hears_leader(now_ms) => return,
+            Message::Vote { transfer, .. } if !transfer && self.has_active_leader(now_ms) => return,
             _ => {}
         }
-        if term < self.hard.term {
-            self.reject_old_term(from, &message);
+        if term < self.hard_state.term {
+            self.reject_stale_message(from, &message);
             return;
         }
-        if term > self.hard.term {
+        if term > self.hard_state.term {
             let leader = matches!(message, Message::Append { .. } | Message::Install(_));
             self.become_follower(now_ms, term, leader.then_some(from));
         }
@@ -262,17 +263,22 @@
         }
     }
 
-    fn reject_old_term(&mut self, from: NodeId, message: &Message) {
+    fn reject_stale_message(&mut self, from: NodeId, message: &Message) {
         match message {
             Message::Append { round, .. } => {
                 let (index, round) = (self.last_index(), *round);
-                self.send_late(from, Message::AppendReply { matched: false, index, round });
+                self.send_after_store(from, Message::AppendReply { matched: false, index, round });
             }
             Message::Install(_) => {
                 let index = self.last_index();
-                self.send_late(from, Message::AppendReply { matched: false, index, round: 0 });
+                self.send_after_store(
+                    from,
+                    Message::AppendReply { matched: false, index, round: 0 },
+                );
+            }
+            Message::Vote { .. } => {
+                self.send_after_store(from, Message::VoteReply { granted: false })
             }
-            Message::Vote { .. } => self.send_late(from, Message::VoteReply { granted: false }),
             _ => {}
         }
     }
@@ -295,7 +301,7 @@
         }
         if self.term_at(prev_index) != Some(prev_term) {
             let index = self.conflict_hint(prev_index);
-            self.send_late(from, Message::AppendReply { matched: false, index, round });
+            self.send_after_store(from, Message::AppendReply { matched: false, index, round });
             return;
         }
         for entry in entries {
@@ -308,10 +314,10 @@
         }
         let index = end.max(self.snapshot_index);
         self.commit = self.commit.max(commit.min(index));
-        self.send_late(from, Message::AppendReply { matched: true, index, round });
+        self.send_after_store(from, Message::AppendReply { matched: true, index, round });
     }
 
-    /// The last index at which the logs may agree: before the term that differs.
+    /// The last index at which the logs may agree: the one before the conflicting term.
     fn conflict_hint(&self, prev_index: u64) -> u64 {
         let last = self.last_index();
         if prev_index > last {
@@ -326,16 +332,19 @@
     }
 
     fn truncate_from(&mut self, index: u64) {
-        assert!(index > self.commit, "a committed entry would change: index={index}");
+        assert!(
+            index > self.commit,
+            "log truncation from index {index} would remove committed entries"
+        );
         let keep = usize::try_from(index - self.snapshot_index - 1).unwrap_or(usize::MAX);
         self.entries.truncate(keep);
         self.output.append.retain(|entry| entry.index < index);
-        if index <= self.stable {
+        if index <= self.stable_index {
             let earlier = self.output.truncate_from.unwrap_or(u64::MAX);
             self.output.truncate_from = Some(index.min(earlier));
-            self.stable = index - 1;
+            self.stable_index = index - 1;
         }
-        self.find_members();
+        self.reload_members();
     }
 
     fn append_entry(&mut self, entry: Entry) {
@@ -348,7 +357,8 @@
         self.entries.push_back(entry);
     }
 
-    fn find_members(&mut self) {
+    /// Sets the members from the log's latest membership entry, or from the snapshot.
+    fn reload_members(&mut self) {
         for entry in self.entries.iter().rev() {
             if let Payload::Members(members) = &entry.payload {
                 self.members_index = entry.index;
@@ -362,11 +372,12 @@
 
     fn set_members(&mut self, members: Members) {
         if let Role::Leader(leading) = &mut self.role {
-            let next = self.entries.back().map_or(self.snapshot_index, |entry| entry.index) + 1;
+            let next_index =
+                self.entries.back().map_or(self.snapshot_index, |entry| entry.index) + 1;
             leading.progress.retain(|id, _| members.0.contains_key(id));
             for id in members.0.keys() {
                 if *id != self.id && !leading.progress.contains_key(id) {
-                    leading.progress.insert(*id, Progress::new(next, 0));
+                    leading.progress.insert(*id, Progress::new(next_index, 0));
                 }
             }
         }
@@ -376,7 +387,7 @@
     fn on_install(&mut self, from: NodeId, snapshot: Snapshot) {
         if snapshot.index <= self.commit {
             let index = self.commit;
-            self.send_late(from, Message::AppendReply { matched: true, index, round: 0 });
+            self.send_after_store(from, Message::AppendReply { matched: true, index, round: 0 });
             return;
         }
         self.entries.clear();
@@ -386,24 +397,24 @@
         self.snapshot_index = snapshot.index;
         self.snapshot_term = snapshot.term;
         self.snapshot_members = snapshot.members.clone();
-        self.stable = snapshot.index;
+        self.stable_index = snapshot.index;
         self.commit = snapshot.index;
-        self.delivered = snapshot.index;
-        self.find_members();
+        self.delivered_index = snapshot.index;
+        self.reload_members();
         let index = snapshot.index;
         self.output.install = Some(snapshot);
-        self.send_late(from, Message::AppendReply { matched: true, index, round: 0 });
+        self.send_after_store(from, Message::AppendReply { matched: true, index, round: 0 });
     }
 
     /// Sends a stored snapshot to a replica named in [`Output::need_snapshot`].
     pub fn send_snapshot(&mut self, to: NodeId, snapshot: Snapshot) {
-        self.send_late(to, Message::Install(snapshot));
+        self.send_after_store(to, Message::Install(snapshot));
     }
 
-    /// Drops the log up to `index`, which a stored snapshot now covers.
+    /// Drops the log up to `index`, which a stored snapshot covers.
     pub fn compact(&mut self, index: u64) {
         let Some(term) = self.term_at(index) else { return };
-        if index <= self.snapshot_index || index > self.delivered {
+        if index <= self.snapshot_index || index > self.delivered_index {
             return;
         }
         self.snapshot_members = self.members_at(index);
@@ -412,7 +423,7 @@
         }
         self.snapshot_index = index;
         self.snapshot_term = term;
-        self.find_members();
+        self.reload_members();
     }
 
     /// The members as of `index`.
@@ -433,38 +444,38 @@
         self.entries.iter()
     }
 
-    /// Term and vote as they must be stored.
+    /// The term and vote to be stored.
     pub fn hard_state(&self) -> HardState {
-        self.hard
+        self.hard_state
     }
 
-    /// Tells that everything up to `index` is stored.
+    /// Records that all entries up to `index` are on disk.
     pub fn mark_persisted(&mut self, index: u64) {
-        self.stable = self.stable.max(index.min(self.last_index()));
+        self.stable_index = self.stable_index.max(index.min(self.last_index()));
         self.advance_commit();
         self.confirm_reads();
     }
 
-    /// Fetches what has to be done.
+    /// Returns what has to be stored, sent and applied since the last call.
     pub fn take_output(&mut self, now_ms: u64) -> Output {
         self.broadcast(now_ms);
-        while self.delivered < self.commit {
-            let Some(entry) = self.entry(self.delivered + 1).cloned() else { break };
-            self.delivered += 1;
+        while self.delivered_index < self.commit {
+            let Some(entry) = self.entry(self.delivered_index + 1).cloned() else { break };
+            self.delivered_index += 1;
             self.output.committed.push(entry);
         }
-        if self.hard_changed {
-            self.hard_changed = false;
-            self.output.hard_state = Some(self.hard);
+        if self.hard_state_changed {
+            self.hard_state_changed = false;
+            self.output.hard_state = Some(self.hard_state);
         }
         std::mem::take(&mut self.output)
     }
 
-    fn send_late(&mut self, to: NodeId, message: Message) {
-        self.send_late_in(self.hard.term, to, message);
+    fn send_after_store(&mut self, to: NodeId, message: Message) {
+        self.send_after_store_in(self.hard_state.term, to, message);
     }
 
-    fn send_late_in(&mut self, term: u64, to: NodeId, message: Message) {
+    fn send_after_store_in(&mut self, term: u64, to: NodeId, message: Message) {
         self.output.late.push(Envelope { from: self.id, to, term, message });
     }
 }
--- a/src/control/raft/types.rs
+++ b/src/control/raft/types.rs
@@ -1,4 +1,4 @@
-//! What the log holds, what replicas tell each other, and what the protocol asks to be done.
+//! Log entries, messages between replicas, and the input and output of [`Raft`](super::Raft).
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -12,22 +12,22 @@
 /// One entry of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its place, counted from 1.
+    /// The log index, starting at 1.
     pub index: u64,
     /// The term in which it was proposed.
     pub term: u64,
-    /// What it holds.
+    /// The content.
     pub payload: Payload,
 }
 
-/// What an entry holds.
+/// The content of a log entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing; opens a leader's term.
+    /// No content; the first entry of a leader's term.
     Noop,
     /// An encoded command of the state machine.
     Command(Arc<[u8]>),
-    /// The members from here on.
+    /// The members of the group from this entry on.
     Members(Members),
 }
 
@@ -48,9 +48,9 @@
 /// One replica of a group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// The name, which outlives a lost data folder.
+    /// The name, which stays the same when the data folder is lost.
     pub name: Arc<str>,
-    /// Where its peers reach it.
+    /// The address for messages from other replicas.
     pub address: SocketAddr,
     /// False for a learner, which receives the log and does not vote.
     pub voter: bool,
@@ -74,7 +74,7 @@
     }
 }
 
-/// What a replica must remember beside the log.
+/// The term and vote, stored before any message that depends on them is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct HardState {
     /// The latest term seen.
@@ -83,10 +83,10 @@
     pub vote: Option<NodeId>,
 }
 
-/// The state up to an index.
+/// The replicated state at a log index.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The last index that it covers.
+    /// The index of the last entry included.
     pub index: u64,
     /// The term of that entry.
     pub term: u64,
@@ -103,37 +103,37 @@
     pub from: NodeId,
     /// The receiver.
     pub to: NodeId,
-    /// The sender's term; for a pre-vote the term it would campaign in.
+    /// The sender's term; for a pre-vote, the term of the election it would start.
     pub term: u64,
     /// The message.
     pub message: Message,
 }
 
-/// What replicas tell each other.
+/// Messages between replicas.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Would you vote for me?
+    /// Asks whether the receiver would vote for the sender.
     PreVote {
         /// The last index of the sender's log.
         last_index: u64,
         /// The term of that entry.
         last_term: u64,
     },
-    /// The answer to a pre-vote.
+    /// Reply to a pre-vote.
     PreVoteReply {
         /// Whether the vote would be given.
         granted: bool,
     },
-    /// Vote for me.
+    /// Requests a vote.
     Vote {
         /// The last index of the sender's log.
         last_index: u64,
         /// The term of that entry.
         last_term: u64,
-        /// True when the leader itself asked for this election.
+        /// True if the leader requested this election to transfer leadership.
         transfer: bool,
     },
-    /// The answer to a vote.
+    /// Reply to a vote request.
     VoteReply {
         /// Whether the vote is given.
         granted: bool,
@@ -148,51 +148,52 @@
         entries: Vec<Entry>,
         /// The leader's commit index.
         commit: u64,
-        /// The majority round that an answer confirms.
+        /// The round of the leader's messages, repeated in the reply to confirm reads and the
+        /// lease.
         round: u64,
     },
-    /// The answer to an append.
+    /// Reply to an append or a snapshot.
     AppendReply {
-        /// True when the entry before the first was there.
+        /// True if the receiver's log has the preceding entry.
         matched: bool,
-        /// Up to where the logs agree, or where to try next.
+        /// The index up to which the logs agree, or the preceding index to try next.
         index: u64,
         /// The round of the append.
         round: u64,
     },
-    /// The whole state, for a replica that is too far behind.
+    /// A snapshot, for a replica that needs entries which the log no longer has.
     Install(Snapshot),
-    /// Campaign at once.
+    /// Requests that the receiver starts an election at once.
     TimeoutNow,
 }
 
-/// What has to be done after a call.
+/// Work collected for the caller.
 #[derive(Debug, Default)]
 pub struct Output {
-    /// To be stored, if changed.
+    /// The term and vote to store, if changed.
     pub hard_state: Option<HardState>,
-    /// Entries from this index on are void.
+    /// Stored entries from this index on are to be removed.
     pub truncate_from: Option<u64>,
-    /// Entries to be stored.
+    /// Entries to store.
     pub append: Vec<Entry>,
-    /// A snapshot to be stored that replaces log and state.
+    /// A received snapshot to store, which replaces the log and the state.
     pub install: Option<Snapshot>,
-    /// Messages that may go before the above is stored.
+    /// Messages that may be sent before the above is stored.
     pub early: Vec<Envelope>,
-    /// Messages that must wait until the above is stored.
+    /// Messages that must be sent only after the above is stored.
     pub late: Vec<Envelope>,
-    /// Entries to be applied.
+    /// Entries to apply.
     pub committed: Vec<Entry>,
-    /// Reads that a majority round has confirmed, with the index they have to see.
+    /// Tokens of confirmed reads, each with the index that the state must have reached.
     pub reads: Vec<(u64, u64)>,
-    /// Reads that failed because leadership was lost.
+    /// Tokens of reads that failed because leadership was lost.
     pub failed_reads: Vec<u64>,
-    /// Replicas that need a snapshot; answer with `Raft::send_snapshot`.
+    /// Replicas that need a snapshot; send one with `Raft::send_snapshot`.
     pub need_snapshot: Vec<NodeId>,
 }
 
 impl Output {
-    /// True when something has to reach the disk.
+    /// True if something has to be stored.
     pub fn must_store(&self) -> bool {
         self.hard_state.is_some()
             || self.truncate_from.is_some()
@@ -201,12 +202,12 @@
     }
 }
 
-/// Periods of the protocol.
+/// Time periods of the protocol.
 #[derive(Debug, Clone, Copy)]
 pub struct Timing {
-    /// Between two heartbeats.
+    /// The interval between heartbeats.
     pub heartbeat_ms: u64,
-    /// The shortest time without a leader before an election; the longest is twice that.
+    /// The shortest election timeout; the longest is twice as long.
     pub election_ms: u64,
 }
 
@@ -216,10 +217,10 @@
     }
 }
 
-/// What a replica found on its disk.
+/// The stored state that a replica starts with.
 #[derive(Debug, Clone, Default)]
 pub struct Recovered {
-    /// Term and vote.
+    /// The term and vote.
     pub hard_state: HardState,
     /// Index, term and members of the snapshot.
     pub snapshot: Option<(u64, u64, Members)>,
