--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -95,12 +95,12 @@
 mutate "a version of unknown age bounds at once" src/relay/replaced.rs 's/if self\.version_due\(now_ms, name\) > held \{\n\s*return Some\(now_ms\);\n\s*\}//' --test renewed_versions
 incarnations=src/control/replica/incarnations.rs
 mutate "an incarnation has an id of its own" src/message/registration.rs 's/if born_ms == 0 \{ name\.into\(\) \}/if true { name.into() }/' --test restarts
-mutate "a heartbeat of an earlier incarnation is late" src/control/replica/registration.rs 's/ \|\| self\.is_of_earlier_life\(now_ms, &heartbeat\.endpoint\)//' --test restarts
+mutate "a heartbeat of an earlier incarnation is late" src/control/replica/registration.rs 's/ \|\| self\.is_from_earlier_incarnation\(now_ms, &heartbeat\.endpoint\)//' --test restarts
 mutate "a clock that jumped back keeps nobody away" $incarnations 's/endpoint\.born_ms == 0 \|\| !is_silent/true/' --test restarts
 mutate "an end right after a restart may be late" $incarnations 's/is_recent && !has_left/false/' --test restarts
 mutate "such an end stops new requests" $incarnations 's/RegisteredEndpoint \{ leaving: true, \.\.endpoint \}/endpoint/' --test restarts
-mutate "only a heartbeat from after the end takes it back" $incarnations 's/SENT_AFTER_END: u64 = 2/SENT_AFTER_END: u64 = 1/' --test restarts
-mutate "the next leader looks for a former incarnation" $incarnations 's/self\.state\.registry\.has_former_life\(known\)/false/' --test restarts
+mutate "only a heartbeat from after the end takes it back" $incarnations 's/MIN_SEQUENCE_GAP: u64 = 2/MIN_SEQUENCE_GAP: u64 = 1/' --test restarts
+mutate "the next leader looks for a former incarnation" $incarnations 's/self\.state\.registry\.has_former_incarnation\(known\)/false/' --test restarts
 mutate "an open order keeps the next holder waiting" src/control/placement/holders.rs 's/if self\.has_order_under_way\(\)/if false/' --test holders
 mutate "an order taken for lost may still come" src/control/placement/holders.rs 's/now_ms \+ LOST_ORDER_MS/now_ms/' --test holders
 mutate "a stalled disk leaves no lead" src/control/server.rs 's/self\.note_stalled\(\);//' --test stalled_disk
--- a/src/control/permit.rs
+++ b/src/control/permit.rs
@@ -100,7 +100,7 @@
     }
 
     /// Takes back a permit whose asker has gone.
-    pub fn forget(&mut self, id: u64) {
+    pub fn revoke(&mut self, id: u64) {
         self.granted.remove(&id);
     }
 
--- a/src/control/registry.rs
+++ b/src/control/registry.rs
@@ -67,7 +67,7 @@
     }
 
     /// True when another incarnation of the endpoint's name has ended, as far back as that is kept.
-    pub fn has_former_life(&self, endpoint: &RegisteredEndpoint) -> bool {
+    pub fn has_former_incarnation(&self, endpoint: &RegisteredEndpoint) -> bool {
         let is_of_name = |id: &str| {
             let rest = id.strip_prefix(&*endpoint.name);
             rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('@'))
--- a/src/control/replica/applying.rs
+++ b/src/control/replica/applying.rs
@@ -1,4 +1,4 @@
-//! What has been committed: applied to the state, told, and answered to whoever waited for it.
+//! Applying committed entries: state changes, replies to waiting callers, reads and snapshots.
 
 use super::{Read, Replica, Waiter};
 use crate::control::raft::{Entry, Output, Payload, Snapshot};
@@ -8,11 +8,13 @@
 use crate::message::{Change, ControlReply};
 use crate::metrics::Counter;
 
-/// Recorded answers can make entries large, so their bytes bound the log as well as their number.
-const SNAPSHOT_BYTES: usize = 64 << 20;
+/// Bytes of applied commands after which a snapshot is due. Recorded answers can make entries
+/// large, so the number of entries alone does not bound the log.
+const MAX_BYTES_SINCE_SNAPSHOT: usize = 64 << 20;
 
 impl Replica {
-    /// Applies what has been committed and answers what waited for it.
+    /// Applies committed entries, replies to the callers that wait for them, and serves confirmed
+    /// reads.
     ///
     /// # Errors
     /// An entry that cannot be decoded.
@@ -23,11 +25,14 @@
         self.publish();
         for token in std::mem::take(&mut output.failed_reads) {
             if let Some(read) = self.reads.remove(&token) {
-                self.lose_read(read);
+                self.fail_read(read);
             }
         }
         for (token, index) in std::mem::take(&mut output.reads) {
-            debug_assert!(self.applied >= index, "a read is confirmed before it can be served");
+            debug_assert!(
+                self.applied >= index,
+                "the state has not reached the index of a confirmed read"
+            );
             if let Some(read) = self.reads.remove(&token) {
                 self.serve_read(read);
             }
@@ -40,13 +45,13 @@
         let mut outcome = Outcome::Done;
         let mut changes = Vec::new();
         if let Payload::Command(bytes) = payload {
-            self.unsnapshotted_bytes += bytes.len();
+            self.bytes_since_snapshot += bytes.len();
             (outcome, changes) = self.state.apply(index, Command::decode(&bytes)?);
         }
         self.applied = index;
-        self.terms.applied(term);
+        self.terms.record_applied(term);
         self.metrics.count(Counter::EntriesApplied);
-        self.note_changes(index, changes);
+        self.record_changes(index, changes);
         let Some((proposed_term, waiter)) = self.waiters.remove(&index) else { return Ok(()) };
         if proposed_term != term {
             if let Waiter::Call(reply) = waiter {
@@ -54,13 +59,13 @@
             }
             return Ok(());
         }
-        self.answer(index, waiter, outcome);
+        self.resolve_waiter(index, waiter, outcome);
         Ok(())
     }
 
-    /// Notes the changes of the entry at `index`, which are told with those of the entries that were
-    /// committed together with it.
-    fn note_changes(&mut self, index: u64, changes: Vec<Change>) {
+    /// Records the changes of the entry at `index`, to be published with those of all entries that
+    /// were committed together with it.
+    fn record_changes(&mut self, index: u64, changes: Vec<Change>) {
         if changes.is_empty() {
             return;
         }
@@ -69,12 +74,12 @@
                 self.summaries.remove(name);
             }
         }
-        self.note_registered(&changes);
+        self.apply_changes(&changes);
         self.unpublished.extend(changes.iter().cloned());
         self.recent.push(index, changes.into());
     }
 
-    fn answer(&mut self, index: u64, waiter: Waiter, outcome: Outcome) {
+    fn resolve_waiter(&mut self, index: u64, waiter: Waiter, outcome: Outcome) {
         match (waiter, outcome) {
             (Waiter::Register { session }, Outcome::Registered(epoch)) => {
                 let Some(found) = self.sessions.get_mut(&session) else { return };
@@ -91,7 +96,7 @@
                 };
                 let _ = reply.send(answer);
             }
-            (Waiter::Register { .. } | Waiter::Nobody, _) => {}
+            (Waiter::Register { .. } | Waiter::NoReply, _) => {}
         }
     }
 
@@ -99,7 +104,7 @@
         match read {
             Read::Renewals(renewals) => {
                 for renewal in renewals {
-                    self.renewed(renewal);
+                    self.complete_renewal(renewal);
                 }
             }
             Read::Welcome { session } => self.welcome_follower(session),
@@ -121,7 +126,7 @@
         }
     }
 
-    /// Replaces state and log position by an installed snapshot.
+    /// Replaces the state and the applied index by those of a received snapshot.
     ///
     /// # Errors
     /// A snapshot that cannot be decoded.
@@ -132,13 +137,15 @@
         Ok(())
     }
 
-    /// A snapshot of the state, when enough entries or bytes have been applied since the last one.
+    /// Returns a snapshot of the state if enough entries or bytes have been applied since the last
+    /// one.
     pub fn snapshot_due(&mut self) -> Option<Snapshot> {
-        let has_many = self.applied >= self.raft.snapshot_index() + self.settings.snapshot_entries;
-        if !has_many && self.unsnapshotted_bytes < SNAPSHOT_BYTES {
+        let has_enough_entries =
+            self.applied >= self.raft.snapshot_index() + self.settings.snapshot_entries;
+        if !has_enough_entries && self.bytes_since_snapshot < MAX_BYTES_SINCE_SNAPSHOT {
             return None;
         }
-        self.unsnapshotted_bytes = 0;
+        self.bytes_since_snapshot = 0;
         Some(Snapshot {
             index: self.applied,
             term: self.raft.term_at(self.applied)?,
--- a/src/control/replica/credit.rs
+++ b/src/control/replica/credit.rs
@@ -1,4 +1,4 @@
-//! Credit of workspaces: answers to holders, at once or when it has come in.
+//! Grants of workspace quota credit to gateways, at once or when credit becomes available.
 
 use std::sync::Arc;
 
@@ -7,8 +7,8 @@
 use crate::policy::quota::HolderGrant;
 
 impl Replica {
-    /// Answers what the holder behind `session` has and wants, as far as that need not wait.
-    pub(super) fn answer_credit(
+    /// Sends `holder`, which is connected by `session`, the grants that need not wait for credit.
+    pub(super) fn answer_credit_asks(
         &mut self,
         now_ms: u64,
         session: u64,
@@ -26,8 +26,8 @@
         }
     }
 
-    /// Answers asks for credit that waited for it to come in.
-    pub(super) fn tell_credit(&mut self, now_ms: u64) {
+    /// Sends the grants that had to wait for credit and are due.
+    pub(super) fn send_due_grants(&mut self, now_ms: u64) {
         for HolderGrant { holder, grant } in self.registered.credit.advance(now_ms) {
             let mut sessions = self.sessions.values();
             if let Some(session) = sessions.find(|session| session.hello.name == holder) {
--- a/src/control/replica/incarnations.rs
+++ b/src/control/replica/incarnations.rs
@@ -1,8 +1,10 @@
-//! Which incarnation of an endpoint a heartbeat or an end belongs to, where calls come late.
+//! Decides which incarnation of an endpoint a heartbeat or a deregistration belongs to when calls
+//! arrive late.
 //!
-//! An end that does not say whose it is, soon after a restart, may be the former incarnation's or the
-//! registered one's. Nothing new is sent to the endpoint from then on, so that a real end is kept, until
-//! heartbeats show that it goes on, so that a late one costs a few seconds.
+//! A deregistration without a birth time soon after a restart may belong to the previous
+//! incarnation or to the registered one. In case it belongs to the registered one, that one is
+//! marked as leaving and gets no new requests. If heartbeats then show that the registered one
+//! still runs, it is used again, so that a late deregistration costs only a few seconds.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,88 +16,94 @@
 use crate::control::state::Operation;
 use crate::message::{ControlReply, EndpointEnd, Heartbeat, RegisteredEndpoint};
 
-/// For how long after a restart an end that does not say whose it is may be the former incarnation's:
-/// calls come seconds late.
-const LATE_END_MS: u64 = 10_000;
-/// How far beyond the last heartbeat before an end one must count that was sent after it: endpoints
-/// call one replica after the other, so that one call may have been on its way when the end was told.
-const SENT_AFTER_END: u64 = 2;
+/// How long after a restart a deregistration without a birth time may belong to the previous
+/// incarnation: calls arrive seconds late.
+const LATE_END_WINDOW_MS: u64 = 10_000;
+/// By how much the sequence number of a heartbeat must exceed that of the last one before a
+/// deregistration to prove that it was sent later. Endpoints call one replica after the other, so
+/// one heartbeat may have been under way when the deregistration arrived.
+const MIN_SEQUENCE_GAP: u64 = 2;
 
-/// In place of a sequence: beyond any that a heartbeat counts.
-const LEAVES: u64 = u64::MAX;
+/// Stands for the sequence number of an endpoint that announced its stop; no heartbeat reaches it.
+const ANNOUNCED_STOP: u64 = u64::MAX;
 
-/// Endpoints that are registered as leaving and might go on all the same: the sequence of the last
-/// heartbeat known to be from before their end, by id.
+/// Endpoints that are registered as leaving but may still run: by id, the sequence number of the
+/// last heartbeat known to precede the deregistration.
 #[derive(Debug, Default)]
-pub(super) struct MaybeEnded(HashMap<Arc<str>, u64>);
+pub(super) struct UncertainEnds(HashMap<Arc<str>, u64>);
 
-impl MaybeEnded {
-    /// Notes an end, after the heartbeat that counted `sequence` if one was heard.
-    fn ended(&mut self, id: &Arc<str>, sequence: Option<u64>) {
-        // One that is told again belongs to no later moment than the first.
+impl UncertainEnds {
+    /// Records a deregistration that arrived after the heartbeat with number `sequence`, if there
+    /// was one.
+    fn record_end(&mut self, id: &Arc<str>, sequence: Option<u64>) {
+        // A repeated deregistration was sent no later than the first one arrived.
         if let (Some(sequence), false) = (sequence, self.0.contains_key(id)) {
             self.0.insert(id.clone(), sequence);
         }
     }
 
-    /// Notes an endpoint that says itself that it leaves; whatever comes later was sent earlier.
-    pub(super) fn leaves(&mut self, id: &Arc<str>) {
-        self.0.insert(id.clone(), LEAVES);
+    /// Records that an endpoint announced its stop: heartbeats without that announcement that
+    /// arrive later were sent earlier.
+    pub(super) fn record_leaving(&mut self, id: &Arc<str>) {
+        self.0.insert(id.clone(), ANNOUNCED_STOP);
     }
 
-    /// True for an endpoint that said itself that it leaves.
+    /// True if the endpoint announced its stop.
     fn has_left(&self, id: &str) -> bool {
-        self.0.get(id) == Some(&LEAVES)
+        self.0.get(id) == Some(&ANNOUNCED_STOP)
     }
 
-    /// True when this heartbeat of an endpoint registered as leaving shows that it goes on.
+    /// True if this heartbeat of an endpoint registered as leaving was sent after the
+    /// deregistration.
     ///
-    /// A leader that did not hear the end itself counts from the first heartbeat that it hears.
-    fn goes_on(&mut self, heartbeat: &Heartbeat) -> bool {
+    /// A leader that did not receive the deregistration counts from the first heartbeat that it
+    /// receives.
+    fn is_sent_after_end(&mut self, heartbeat: &Heartbeat) -> bool {
         let id = &heartbeat.endpoint.id;
         let before_end = *self.0.entry(id.clone()).or_insert(heartbeat.sequence);
-        heartbeat.sequence >= before_end.saturating_add(SENT_AFTER_END)
+        heartbeat.sequence >= before_end.saturating_add(MIN_SEQUENCE_GAP)
     }
 
-    /// Forgets an endpoint that is gone or goes on.
+    /// Removes an endpoint that has ended or was shown to run.
     pub(super) fn forget(&mut self, id: &str) {
         self.0.remove(id);
     }
 
-    /// Forgets everything.
+    /// Removes all endpoints.
     pub(super) fn clear(&mut self) {
         self.0.clear();
     }
 }
 
 impl Replica {
-    /// Notes a registration that replaces another incarnation of its name.
-    pub(super) fn note_restart(&mut self, now_ms: u64, endpoint: &RegisteredEndpoint) {
+    /// Records the time of a registration that replaces another incarnation of the same name.
+    pub(super) fn record_restart(&mut self, now_ms: u64, endpoint: &RegisteredEndpoint) {
         let earlier = self.state.registry.named(&endpoint.name);
         if !earlier.is_some_and(|earlier| endpoint.is_other_life_of(earlier)) {
             return;
         }
         let restarted = &mut self.registered.restarted_at_ms;
-        restarted.retain(|_, at_ms| *at_ms + LATE_END_MS > now_ms);
+        restarted.retain(|_, at_ms| *at_ms + LATE_END_WINDOW_MS > now_ms);
         restarted.insert(endpoint.name.clone(), now_ms);
     }
 
-    /// Ends an endpoint's incarnation; the answer waits for the commit.
-    pub(super) fn end_endpoint(
+    /// Deregisters an endpoint and replies after the commit. If the deregistration may belong to
+    /// the previous incarnation, the endpoint is marked as leaving instead.
+    pub(super) fn deregister_endpoint(
         &mut self,
         now_ms: u64,
         wall_ms: u64,
         end: EndpointEnd,
         reply: RpcReplyPort<ControlReply>,
     ) {
-        let unclear = self.may_be_ended(now_ms, &end);
+        let uncertain = self.uncertain_incarnation(now_ms, &end);
         let born_ms = end.born_ms.unwrap_or(0);
-        let is_unclear = unclear.is_some();
+        let is_unclear = uncertain.is_some();
         info!(event = "endpoint_ends", endpoint = %end.name, born_ms, is_unclear);
-        let operation = match unclear {
+        let operation = match uncertain {
             Some(endpoint) => {
-                let sequence = self.registered.sequence_heard(&endpoint.id);
-                self.registered.maybe_ended.ended(&endpoint.id, sequence);
+                let sequence = self.registered.latest_sequence(&endpoint.id);
+                self.registered.uncertain_ends.record_end(&endpoint.id, sequence);
                 Operation::RegisterEndpoint(RegisteredEndpoint { leaving: true, ..endpoint })
             }
             None => Operation::DeregisterEndpoint(end),
@@ -103,39 +111,48 @@
         self.propose(wall_ms, operation, Waiter::Call(reply));
     }
 
-    /// The registered incarnation, for an end without a birth that may be the former one's: it restarted
-    /// just now, or before this leader can know, and has not said that it leaves.
-    fn may_be_ended(&self, now_ms: u64, end: &EndpointEnd) -> Option<RegisteredEndpoint> {
+    /// Returns the registered incarnation if `end` has no birth time and may belong to the previous
+    /// incarnation: the endpoint restarted just now, or possibly before this replica became the
+    /// leader, and has not announced its stop.
+    fn uncertain_incarnation(&self, now_ms: u64, end: &EndpointEnd) -> Option<RegisteredEndpoint> {
         if end.born_ms.is_some() {
             return None;
         }
         let known = self.state.registry.named(&end.name)?;
         let restarted_at_ms = match self.registered.restarted_at_ms.get(&end.name) {
             Some(at_ms) => *at_ms,
-            None if self.state.registry.has_former_life(known) => self.registered.leading_since_ms,
+            None if self.state.registry.has_former_incarnation(known) => {
+                self.registered.leading_since_ms
+            }
             None => return None,
         };
-        let is_recent = restarted_at_ms + LATE_END_MS > now_ms;
-        let has_left = self.registered.maybe_ended.has_left(&known.id);
+        let is_recent = restarted_at_ms + LATE_END_WINDOW_MS > now_ms;
+        let has_left = self.registered.uncertain_ends.has_left(&known.id);
         (is_recent && !has_left).then(|| known.clone())
     }
 
-    /// True when a heartbeat of an endpoint registered as leaving shows that it goes on.
-    pub(super) fn goes_on(&mut self, heartbeat: &Heartbeat) -> bool {
-        let goes_on = self.registered.maybe_ended.goes_on(heartbeat);
-        if goes_on {
+    /// Checks whether a heartbeat shows that an endpoint registered as leaving still runs, and if
+    /// so stops tracking it as possibly ended.
+    pub(super) fn confirm_running(&mut self, heartbeat: &Heartbeat) -> bool {
+        let is_running = self.registered.uncertain_ends.is_sent_after_end(heartbeat);
+        if is_running {
             let (endpoint, sequence) = (&heartbeat.endpoint.id, heartbeat.sequence);
             info!(event = "endpoint_goes_on", endpoint = %endpoint, sequence);
-            self.registered.maybe_ended.forget(endpoint);
+            self.registered.uncertain_ends.forget(endpoint);
         }
-        goes_on
+        is_running
     }
 
-    /// True for a heartbeat of an incarnation that ended before the registered one of its name began.
+    /// True for a heartbeat of an incarnation that ended before the registered one of its name
+    /// began.
     ///
-    /// Clocks jump, so that a later incarnation may tell an earlier birth; by then the one that is
-    /// registered is silent.
-    pub(super) fn is_of_earlier_life(&self, now_ms: u64, endpoint: &RegisteredEndpoint) -> bool {
+    /// Clocks may jump back, so a later incarnation may have an earlier birth time; it is accepted
+    /// once the registered incarnation is silent.
+    pub(super) fn is_from_earlier_incarnation(
+        &self,
+        now_ms: u64,
+        endpoint: &RegisteredEndpoint,
+    ) -> bool {
         let registry = &self.state.registry;
         if registry.endpoints().contains_key(&endpoint.id) {
             return false;
--- a/src/control/replica/mod.rs
+++ b/src/control/replica/mod.rs
@@ -1,7 +1,8 @@
-//! One replica of control: the log, the state that it drives, and the sessions of its leader.
+//! A replica of control: the Raft log, the replicated state, and the sessions that the leader
+//! serves.
 //!
-//! [`Replica`] has no input or output of its own but channels that never block. What has to be
-//! stored or sent to peers is handed to the actor in [`crate::control::server`].
+//! [`Replica`] does no I/O other than sending on channels without blocking. The actor in
+//! [`crate::control::server`] stores its output and sends it to peers.
 
 mod applying;
 mod credit;
@@ -35,36 +36,39 @@
 use crate::policy::quota::QuotaBounds;
 
 const PERMIT_WAIT_MAX_MS: u64 = 5_000;
-/// Polls in a row that must agree before most of the endpoints are taken for gone.
+/// Consecutive polls of the platform's list that must agree before most of the endpoints are
+/// removed.
 const MASS_REMOVAL_POLLS: u32 = 5;
 
-/// Bounds and periods of a replica.
+/// Settings of a replica.
 #[derive(Debug, Clone)]
 pub struct ReplicaSettings {
-    /// The instance, by where its peers reach it: it outlives the replica's disk.
+    /// The instance, named by its address for peers, which stays the same when the replica's disk
+    /// is lost.
     pub instance: Arc<str>,
     /// Its availability zone.
     pub zone: Arc<str>,
-    /// How long a gateway's lease lasts.
+    /// Duration of a gateway's lease.
     pub lease_ms: u64,
-    /// Entries between two snapshots.
+    /// Applied entries after which a snapshot is due.
     pub snapshot_entries: u64,
     /// Bounds of the run ledger.
     pub ledger: crate::control::ledger::LedgerLimits,
-    /// What the weight store allows.
+    /// Load limits of the weight store.
     pub store: StoreBudget,
-    /// Bounds of orders to engines.
+    /// Limits on orders to engines.
     pub placement: PlacementSettings,
-    /// What is allowed above the quotas of workspaces.
+    /// How far workspaces may exceed their quotas.
     pub quota: QuotaBounds,
-    /// How long a new group waits for all its voters before it accepts anything.
+    /// How long a new group waits for its target number of voters before it accepts a routing
+    /// configuration.
     pub founding_wait_ms: u64,
 }
 
 enum Waiter {
     Call(RpcReplyPort<ControlReply>),
     Register { session: u64 },
-    Nobody,
+    NoReply,
 }
 
 enum Read {
@@ -83,31 +87,32 @@
     state: State,
     applied: u64,
     /// Bytes of commands applied since the last snapshot.
-    unsnapshotted_bytes: usize,
+    bytes_since_snapshot: usize,
     settings: ReplicaSettings,
     metrics: Metrics,
     leading: bool,
     waiters: BTreeMap<u64, (u64, Waiter)>,
     renewals: Vec<Renewal>,
-    renewals_due_ms: u64,
+    renewal_round_due_ms: u64,
     reads: HashMap<u64, Read>,
     next_token: u64,
     sessions: BTreeMap<u64, Session>,
     recent: RecentChanges,
-    /// Changes that sessions have not been told yet.
+    /// Changes not sent to sessions yet.
     unpublished: Vec<Change>,
     summaries: Summaries,
     permits: Permits,
     permit_waiters: HashMap<u64, RpcReplyPort<ControlReply>>,
     renewed_at_ms: HashMap<Arc<str>, u64>,
     load_reports: HashMap<Arc<str>, u32>,
-    removal_polls: u32,
+    mass_removal_polls: u32,
     registered: Registered,
     terms: Terms,
 }
 
 impl Replica {
-    /// A replica with the state of its snapshot; the log's entries are applied as they commit.
+    /// Creates a replica with the state of its snapshot; entries of the log are applied as they
+    /// commit.
     pub fn new(raft: Raft, state: State, settings: ReplicaSettings, metrics: Metrics) -> Self {
         let placement = Placement::new(0, settings.placement);
         let permits = Permits::new(settings.store, 0);
@@ -117,13 +122,13 @@
             raft,
             state,
             applied,
-            unsnapshotted_bytes: 0,
+            bytes_since_snapshot: 0,
             settings,
             metrics,
             leading: false,
             waiters: BTreeMap::new(),
             renewals: Vec::new(),
-            renewals_due_ms: 0,
+            renewal_round_due_ms: 0,
             reads: HashMap::new(),
             next_token: 0,
             sessions: BTreeMap::new(),
@@ -134,7 +139,7 @@
             permit_waiters: HashMap::new(),
             renewed_at_ms: HashMap::new(),
             load_reports: HashMap::new(),
-            removal_polls: 0,
+            mass_removal_polls: 0,
             registered,
             terms: Terms::default(),
         }
@@ -145,29 +150,29 @@
         &self.state
     }
 
-    /// The index up to which the state is applied.
+    /// The index of the last applied entry.
     pub fn applied(&self) -> u64 {
         self.applied
     }
 
-    /// True when this replica leads and may answer.
+    /// True if this replica leads and has committed an entry of its term.
     pub fn is_leading(&self) -> bool {
         self.leading
     }
 
-    /// Lets time pass.
+    /// Advances the Raft timers and, on the leader, all periodic work.
     pub fn tick(&mut self, now_ms: u64, wall_ms: u64) {
         self.raft.tick(now_ms);
         if !self.leading {
             return;
         }
-        self.confirm_renewals(now_ms);
+        self.start_renewal_round(now_ms);
         self.poll_permits(now_ms);
         self.expire_gateways(now_ms, wall_ms);
         self.advance_placement(now_ms, wall_ms);
         self.advance_standings(now_ms, wall_ms);
-        self.tell_credit(now_ms);
-        self.tell_followers(now_ms);
+        self.send_due_grants(now_ms);
+        self.update_followers(now_ms);
         if let Some(members) = self.raft.next_members(now_ms) {
             info!(event = "members_proposed", members = members.0.len());
             self.raft.propose_members(members);
@@ -183,17 +188,18 @@
             }
         }
         for (gateway, epoch) in expired {
-            // Proposed again after another lease time should this one not be committed.
+            // If this proposal is not committed, it is repeated after another lease time.
             self.renewed_at_ms.insert(gateway.clone(), now_ms);
             self.metrics.count(Counter::GatewaysExpired);
             warn!(event = "gateway_expired", gateway = %gateway, epoch = epoch);
-            self.propose(wall_ms, Operation::Expire { gateway, epoch }, Waiter::Nobody);
+            self.propose(wall_ms, Operation::Expire { gateway, epoch }, Waiter::NoReply);
         }
     }
 
-    /// Notices a change of leadership; called after each round of output.
+    /// Starts or stops leading after a change of Raft leadership; called after each batch of
+    /// output.
     pub fn check_leadership(&mut self, now_ms: u64, wall_ms: u64) {
-        self.terms.note(now_ms);
+        self.terms.record_starts(now_ms);
         let leads = self.raft.is_settled_leader();
         if leads == self.leading {
             return;
@@ -211,13 +217,14 @@
         info!(event = "leading", term = term, commit = self.raft.commit());
         self.metrics.count(Counter::ElectionsWon);
         self.permits.take_over(now_ms, term, self.state.clock_ms() == 0);
-        // Every gateway gets a whole lease: this replica cannot know when each last renewed.
+        // The new leader does not know when each gateway last renewed, so every gateway gets a full
+        // lease.
         self.renewed_at_ms.clear();
         for name in self.state.fleet.gateways().keys() {
             self.renewed_at_ms.insert(name.clone(), now_ms);
         }
-        self.lead_registered(now_ms);
-        self.propose(wall_ms, Operation::SetLimits(self.settings.ledger), Waiter::Nobody);
+        self.rebuild_registered(now_ms);
+        self.propose(wall_ms, Operation::SetLimits(self.settings.ledger), Waiter::NoReply);
     }
 
     fn stop_leading(&mut self) {
@@ -238,7 +245,7 @@
         }
     }
 
-    /// Where the leader serves, as far as it is known.
+    /// The address of the leader, if known.
     pub fn leader_address(&self) -> Option<std::net::SocketAddr> {
         let leader = self.raft.leader()?;
         if leader == self.raft.id() && !self.leading {
@@ -272,19 +279,20 @@
             self.reads.insert(token, read);
             return;
         }
-        self.lose_read(read);
+        self.fail_read(read);
     }
 
-    fn lose_read(&mut self, read: Read) {
+    fn fail_read(&mut self, read: Read) {
         let not_leader = self.not_leader();
         match read {
             Read::Renewals(renewals) => {
                 for renewal in renewals {
-                    let (Renewal::Own { session, .. } | Renewal::Behind { session, .. }) = renewal;
-                    self.send_elsewhere(session);
+                    let (Renewal::Direct { session, .. } | Renewal::ViaDistributor { session, .. }) =
+                        renewal;
+                    self.redirect_session(session);
                 }
             }
-            Read::Welcome { session } => self.send_elsewhere(session),
+            Read::Welcome { session } => self.redirect_session(session),
             Read::Get { reply, .. }
             | Read::Status(reply)
             | Read::DryRun { reply, .. }
@@ -294,7 +302,7 @@
         }
     }
 
-    /// Takes a single call in; the answer goes to `reply`.
+    /// Handles a call; the answer goes to `reply`.
     pub fn call(
         &mut self,
         now_ms: u64,
@@ -333,7 +341,7 @@
                 self.heartbeat(now_ms, wall_ms, heartbeat, reply);
             }
             ControlRequest::Deregister(end) => {
-                self.end_endpoint(now_ms, wall_ms, end, reply);
+                self.deregister_endpoint(now_ms, wall_ms, end, reply);
             }
             ControlRequest::Claim(claim) => {
                 self.propose(wall_ms, Operation::Claim(claim), Waiter::Call(reply));
@@ -368,7 +376,7 @@
         }
         info!(event = "replica_joins", replica = %member.name, id = id);
         let mut members = self.raft.members().clone();
-        // A learner of the same name was lost before it was promoted.
+        // A learner of the same name was lost before its promotion.
         members.0.retain(|_, known| known.voter || known.name != member.name);
         members.0.insert(id, member);
         self.raft.propose_members(members);
@@ -387,12 +395,12 @@
                 }
             };
             if let (Err(_), PermitOutcome::Granted(permit_id)) = (reply.send(answer), outcome) {
-                self.permits.forget(permit_id);
+                self.permits.revoke(permit_id);
             }
         }
     }
 
-    /// Takes the platform's list in.
+    /// Proposes what changed in the platform's list of endpoints.
     pub fn listed(&mut self, wall_ms: u64, listed: Vec<ListedEndpoint>) {
         if !self.leading {
             return;
@@ -412,24 +420,24 @@
                 removed.push(name.clone());
             }
         }
-        // A list that lost most of its content is more likely broken than true.
+        // A list that lost most of its entries is more likely faulty than correct.
         if removed.len() * 2 > known.len() && known.len() > 2 {
-            self.removal_polls += 1;
-            if self.removal_polls < MASS_REMOVAL_POLLS {
+            self.mass_removal_polls += 1;
+            if self.mass_removal_polls < MASS_REMOVAL_POLLS {
                 warn!(event = "mass_removal_held_back", removed = removed.len());
                 removed.clear();
             }
         } else {
-            self.removal_polls = 0;
+            self.mass_removal_polls = 0;
         }
         if changed.is_empty() && removed.is_empty() {
             return;
         }
         let operation = Operation::List { listed: changed, removed };
-        self.propose(wall_ms, operation, Waiter::Nobody);
+        self.propose(wall_ms, operation, Waiter::NoReply);
     }
 
-    /// Takes the platform's reports of load in; they are hints and are not kept in the log.
+    /// Replaces the platform's load reports, which are hints and not kept in the log.
     pub fn note_load_reports(&mut self, reports: Vec<LoadReport>) {
         self.load_reports.clear();
         for report in reports {
@@ -437,7 +445,7 @@
         }
     }
 
-    /// How the group looks from here.
+    /// The status of the group as this replica knows it.
     pub fn status(&self) -> GroupStatus {
         let mut members = Vec::new();
         for (id, member) in &self.raft.members().0 {
--- a/src/control/replica/registration.rs
+++ b/src/control/replica/registration.rs
@@ -1,4 +1,5 @@
-//! Routing configurations, endpoints that register themselves, and the gateways that follow.
+//! Routing configurations, endpoints that register themselves, and the sessions of follower
+//! gateways and distributors.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -7,7 +8,7 @@
 use ractor::RpcReplyPort;
 use tracing::{info, warn};
 
-use super::incarnations::MaybeEnded;
+use super::incarnations::UncertainEnds;
 use super::standings::log_standing;
 use super::{Renewal, Replica, Waiter};
 use crate::control::counts::Counts;
@@ -23,27 +24,30 @@
 use crate::policy::quota::{Pools, QuotaBounds};
 use crate::routing::RoutingConfiguration;
 
-/// How often new copies are recorded: a synced entry each time, and what is lost costs a load.
-const COPIES_NOTED_EVERY_MS: u64 = 1_000;
+/// Interval between records of new copies of weights: each record costs a synced log entry, each
+/// copy that a new leader does not know of costs a load.
+const COPIES_RECORD_PERIOD_MS: u64 = 1_000;
 
-/// Orders that one leader may give, as a power of two: more than a year's at the size expected.
+/// Bits of an order's number that count the orders of one term: enough for more than a year at the
+/// expected size.
 const ORDERS_PER_TERM_BITS: u32 = 32;
 
-/// What the leader knows of registered endpoints beside what is replicated.
+/// The leader's state of registered endpoints that is not replicated.
 pub(super) struct Registered {
     pub(super) placement: Placement,
+    /// Sequence number of the latest heartbeat, by endpoint id.
     sequences: HashMap<Arc<str>, u64>,
-    /// When endpoints, by name, were last heard to have restarted.
+    /// When a restart was last noticed, by endpoint name.
     pub(super) restarted_at_ms: HashMap<Arc<str>, u64>,
-    pub(super) maybe_ended: MaybeEnded,
+    pub(super) uncertain_ends: UncertainEnds,
     pub(super) leading_since_ms: u64,
     ticked_at_ms: u64,
     loads_due_ms: u64,
-    group_told: Group,
+    group_sent: Group,
     copies_due_ms: u64,
     pub(super) counts: Counts,
     pub(super) crashes: Crashes,
-    /// Credit of workspaces.
+    /// Quota credit of workspaces.
     pub(super) credit: Pools,
 }
 
@@ -53,11 +57,11 @@
             placement,
             sequences: HashMap::new(),
             restarted_at_ms: HashMap::new(),
-            maybe_ended: MaybeEnded::default(),
+            uncertain_ends: UncertainEnds::default(),
             leading_since_ms: 0,
             ticked_at_ms: 0,
             loads_due_ms: 0,
-            group_told: Group::default(),
+            group_sent: Group::default(),
             copies_due_ms: 0,
             counts: Counts::new(),
             crashes: Crashes::default(),
@@ -72,29 +76,30 @@
         self.ticked_at_ms
     }
 
-    /// What the latest heartbeat of an incarnation counted.
-    pub(super) fn sequence_heard(&self, id: &str) -> Option<u64> {
+    /// The sequence number of the latest heartbeat of an incarnation.
+    pub(super) fn latest_sequence(&self, id: &str) -> Option<u64> {
         self.sequences.get(id).copied()
     }
 }
 
 impl Replica {
-    /// Starts knowing endpoints anew, from what is replicated.
-    pub(super) fn lead_registered(&mut self, now_ms: u64) {
-        let earlier_began_ago_ms = self.terms.earlier_began_ago_ms(now_ms);
+    /// Rebuilds the state of registered endpoints from the replicated state when this replica
+    /// becomes leader.
+    pub(super) fn rebuild_registered(&mut self, now_ms: u64) {
+        let previous_term_age_ms = self.terms.previous_term_age_ms(now_ms);
         let registered = &mut self.registered;
         registered.sequences.clear();
         registered.restarted_at_ms.clear();
-        registered.maybe_ended.clear();
+        registered.uncertain_ends.clear();
         registered.leading_since_ms = now_ms;
         registered.ticked_at_ms = now_ms;
-        registered.group_told = Group::default();
+        registered.group_sent = Group::default();
         registered.counts = Counts::new();
         registered.credit = Pools::new(self.settings.quota);
         if let Some(configuration) = self.state.registry.routing() {
             registered.credit = Pools::new(self.settings.quota)
                 .with_earlier_leader(now_ms, configuration)
-                .with_earlier_term_began(earlier_began_ago_ms.unwrap_or(0));
+                .with_earlier_term_began(previous_term_age_ms.unwrap_or(0));
         }
         let standings = self.state.registry.standings().cloned();
         registered.crashes = Crashes::new(now_ms, standings);
@@ -115,7 +120,7 @@
         }
     }
 
-    /// Takes a whole configuration in; the answer waits for the commit.
+    /// Proposes a routing configuration and replies after the commit.
     pub(super) fn put_routing(
         &mut self,
         now_ms: u64,
@@ -124,8 +129,10 @@
         document: Arc<str>,
         reply: RpcReplyPort<ControlReply>,
     ) {
-        let waits = now_ms < self.registered.leading_since_ms + self.settings.founding_wait_ms;
-        if waits && self.state.registry.routing().is_none() && !self.raft.has_target_voters() {
+        let is_founding =
+            now_ms < self.registered.leading_since_ms + self.settings.founding_wait_ms;
+        if is_founding && self.state.registry.routing().is_none() && !self.raft.has_target_voters()
+        {
             info!(event = "routing_put_off", reason = "voters are missing");
             let _ = reply.send(ControlReply::NotReady);
             return;
@@ -136,7 +143,7 @@
         self.propose(wall_ms, operation, Waiter::Call(reply));
     }
 
-    /// Names the newest version of weights.
+    /// Proposes the newest version of weights and replies after the commit.
     pub(super) fn put_version(
         &mut self,
         wall_ms: u64,
@@ -147,7 +154,7 @@
         self.propose(wall_ms, Operation::PutVersion(newest), Waiter::Call(reply));
     }
 
-    /// Takes a heartbeat in: one that tells nothing new is answered at once, others are committed.
+    /// Handles a heartbeat: one that changes nothing is answered at once, others after the commit.
     pub(super) fn heartbeat(
         &mut self,
         now_ms: u64,
@@ -157,15 +164,17 @@
     ) {
         let zone = heartbeat.endpoint.zone.clone();
         let waiter = Waiter::Call(reply);
-        let Some(waiter) = self.take_heartbeat(now_ms, wall_ms, heartbeat, waiter) else { return };
+        let Some(waiter) = self.process_heartbeat(now_ms, wall_ms, heartbeat, waiter) else {
+            return;
+        };
         if let Waiter::Call(reply) = waiter {
-            let server = self.registered.group_told.server_of(&zone);
+            let server = self.registered.group_sent.server_of(&zone);
             let _ = reply.send(ControlReply::Heard { server });
         }
     }
 
-    /// Takes a heartbeat in; gives `waiter` back when there is nothing to wait for.
-    fn take_heartbeat(
+    /// Processes a heartbeat and returns `waiter` if there is no commit to wait for.
+    fn process_heartbeat(
         &mut self,
         now_ms: u64,
         wall_ms: u64,
@@ -180,7 +189,7 @@
         if is_late
             || has_departed
             || is_refused
-            || self.is_of_earlier_life(now_ms, &heartbeat.endpoint)
+            || self.is_from_earlier_incarnation(now_ms, &heartbeat.endpoint)
         {
             let sequence = heartbeat.sequence;
             info!(
@@ -197,10 +206,10 @@
         let differs = known != Some(&heartbeat.endpoint);
         let was_leaving = known.is_some_and(|known| known.leaving);
         if heartbeat.endpoint.leaving {
-            // One that said it leaves does not come back.
-            self.registered.maybe_ended.leaves(id);
+            // An endpoint that announced its stop is not used again.
+            self.registered.uncertain_ends.record_leaving(id);
         }
-        let is_new = if was_leaving { self.goes_on(&heartbeat) } else { differs };
+        let is_new = if was_leaving { self.confirm_running(&heartbeat) } else { differs };
         self.registered.sequences.insert(id.clone(), heartbeat.sequence);
         self.registered.placement.observe(now_ms, &heartbeat);
         if !is_new {
@@ -214,14 +223,14 @@
             leaving = heartbeat.endpoint.leaving,
             sequence = heartbeat.sequence
         );
-        self.note_restart(now_ms, &heartbeat.endpoint);
+        self.record_restart(now_ms, &heartbeat.endpoint);
         let operation = Operation::RegisterEndpoint(heartbeat.endpoint);
         self.propose(wall_ms, operation, waiter);
         None
     }
 
-    /// Keeps the placement in step with what was committed.
-    pub(super) fn note_registered(&mut self, changes: &[Change]) {
+    /// Updates the leader's state with committed changes.
+    pub(super) fn apply_changes(&mut self, changes: &[Change]) {
         let now_ms = self.registered.ticked_at_ms;
         let placement = &mut self.registered.placement;
         for change in changes {
@@ -233,7 +242,7 @@
                 Change::Registered(endpoint) => placement.register(now_ms, endpoint),
                 Change::Deregistered(id) => {
                     self.registered.sequences.remove(id);
-                    self.registered.maybe_ended.forget(id);
+                    self.registered.uncertain_ends.forget(id);
                     placement.deregister(id);
                 }
                 Change::Version(newest) => {
@@ -249,39 +258,40 @@
         }
     }
 
-    /// Lets the placement decide and passes its orders to the gateways that give them.
+    /// Advances the placement, proposes its choices of order holders, and passes its orders to the
+    /// gateways that send them to engines.
     pub(super) fn advance_placement(&mut self, now_ms: u64, wall_ms: u64) {
         self.registered.ticked_at_ms = now_ms;
         let holders = self.state.registry.order_holders();
         self.registered.placement.advance(now_ms, holders);
         let choices = self.registered.placement.take_choices();
         if !choices.is_empty() {
-            self.propose(wall_ms, Operation::ChooseHolders(choices), Waiter::Nobody);
+            self.propose(wall_ms, Operation::ChooseHolders(choices), Waiter::NoReply);
         }
         for order in self.registered.placement.take_orders() {
-            self.pass_order(now_ms, order);
+            self.send_order(now_ms, order);
         }
-        self.note_copies(now_ms, wall_ms);
+        self.propose_copies(now_ms, wall_ms);
     }
 
-    /// Records new copies, so that whoever leads next knows them.
-    fn note_copies(&mut self, now_ms: u64, wall_ms: u64) {
+    /// Proposes a record of new copies for the next leader.
+    fn propose_copies(&mut self, now_ms: u64, wall_ms: u64) {
         if now_ms < self.registered.copies_due_ms {
             return;
         }
-        self.registered.copies_due_ms = now_ms + COPIES_NOTED_EVERY_MS;
+        self.registered.copies_due_ms = now_ms + COPIES_RECORD_PERIOD_MS;
         let copies = self.registered.placement.take_new_copies();
         if !copies.is_empty() {
-            self.propose(wall_ms, Operation::NoteCopies(copies), Waiter::Nobody);
+            self.propose(wall_ms, Operation::NoteCopies(copies), Waiter::NoReply);
         }
     }
 
-    fn pass_order(&mut self, now_ms: u64, order: EngineOrder) {
-        // A gateway that has just left its distributor may still count there.
+    fn send_order(&mut self, now_ms: u64, order: EngineOrder) {
+        // Direct sessions come first: a distributor may still list a gateway that has just left it.
         let mut sessions: Vec<&Session> = self.sessions.values().collect();
         sessions.sort_by_key(|session| session.hello.role == SessionRole::Distributor);
         for session in sessions {
-            if !session.reaches(now_ms, &order.holder) {
+            if !session.can_reach(now_ms, &order.holder) {
                 continue;
             }
             if session.send(SessionDown::Order(order.clone())) {
@@ -293,8 +303,8 @@
         self.registered.placement.ordered(now_ms, order.not_sent());
     }
 
-    /// Tells the placement which gateways can give orders.
-    fn note_gateways(&mut self, now_ms: u64) {
+    /// Updates the placement's set of gateways that can send orders.
+    fn update_gateways(&mut self, now_ms: u64) {
         let mut connected = BTreeMap::new();
         for session in self.sessions.values() {
             for gateway in session.gateways(now_ms) {
@@ -304,14 +314,15 @@
         self.registered.placement.set_gateways(now_ms, connected);
     }
 
-    /// Brings a follower up to what is committed.
+    /// Sends a new follower the committed state, the placements and the group.
     pub(super) fn welcome_follower(&mut self, id: u64) {
         let index = self.applied;
         let Some(session) = self.sessions.get_mut(&id) else { return };
         let placed = self.registered.placement.all_placed();
-        // What the others were told: in a storm of sessions a leader that told all anew would not know
-        // meanwhile which gateways belong to a distributor.
-        let group = self.registered.group_told.clone();
+        // Sends the group as the others last received it. Had the leader recomputed it for each of
+        // many sessions opened at once, it would not know in the meantime which gateways belong to
+        // a distributor.
+        let group = self.registered.group_sent.clone();
         let keeps_up = session.welcome(0, index, &self.recent, &self.state)
             && session.send(SessionDown::Placed { reset: true, placed })
             && (group == Group::default() || session.send(SessionDown::Group(group)));
@@ -321,55 +332,64 @@
         self.registered.counts.tell_all();
     }
 
-    /// The distributor that serves a gateway better than this leader does, if there is one.
+    /// The distributor in the gateway's availability zone, if it should serve the gateway instead
+    /// of this leader.
     pub(super) fn nearer_server(&self, hello: &SessionHello) -> Option<SocketAddr> {
         if hello.role != SessionRole::Follower || hello.near_fails {
             return None;
         }
         let own = self.own_address();
-        let near = self.registered.group_told.server_of(&hello.zone);
-        near.filter(|address| Some(*address) != own)
+        let distributor = self.registered.group_sent.server_of(&hello.zone);
+        distributor.filter(|address| Some(*address) != own)
     }
 
     fn own_address(&self) -> Option<SocketAddr> {
         self.raft.members().0.get(&self.raft.id()).map(|member| member.address)
     }
 
-    /// Takes a message of a gateway that only follows, or of a distributor.
-    pub(super) fn follower_message(&mut self, now_ms: u64, wall_ms: u64, id: u64, up: SessionUp) {
+    /// Handles a message of a follower gateway or a distributor.
+    pub(super) fn handle_follower_message(
+        &mut self,
+        now_ms: u64,
+        wall_ms: u64,
+        id: u64,
+        up: SessionUp,
+    ) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         let from =
             UseFrom { gateway: session.hello.name.clone(), zone: session.hello.zone.clone() };
         match up {
             SessionUp::Renew { sent_at_ms, .. } => {
-                self.renew(Renewal::Own { session: id, sent_at_ms });
+                self.queue_renewal(Renewal::Direct { session: id, sent_at_ms });
             }
             SessionUp::RenewFor { number, gateways } => {
-                self.renew(Renewal::Behind { session: id, number, gateways });
+                self.queue_renewal(Renewal::ViaDistributor { session: id, number, gateways });
             }
             SessionUp::Forwarded(forwarded) => {
                 for Forwarded { gateway, up } in forwarded {
                     let from = UseFrom { gateway, zone: from.zone.clone() };
-                    self.gateway_message(now_ms, wall_ms, &from, up);
+                    self.handle_gateway_message(now_ms, wall_ms, &from, up);
                 }
             }
             SessionUp::Traffic { loads, used, failing } => {
                 self.registered.counts.take(session, loads);
                 let up = SessionUp::Traffic { loads: Vec::new(), used, failing };
-                self.gateway_message(now_ms, wall_ms, &from, up);
+                self.handle_gateway_message(now_ms, wall_ms, &from, up);
+            }
+            SessionUp::CreditAsks(asks) => {
+                self.answer_credit_asks(now_ms, id, &from.gateway, &asks)
             }
-            SessionUp::CreditAsks(asks) => self.answer_credit(now_ms, id, &from.gateway, &asks),
             SessionUp::Heartbeats(heartbeats) => {
                 for heartbeat in heartbeats {
-                    self.take_heartbeat(now_ms, wall_ms, heartbeat, Waiter::Nobody);
+                    self.process_heartbeat(now_ms, wall_ms, heartbeat, Waiter::NoReply);
                 }
             }
-            up => self.gateway_message(now_ms, wall_ms, &from, up),
+            up => self.handle_gateway_message(now_ms, wall_ms, &from, up),
         }
     }
 
-    /// Takes what a gateway tells of adapters, on its own session or through a distributor.
-    fn gateway_message(&mut self, now_ms: u64, wall_ms: u64, from: &UseFrom, up: SessionUp) {
+    /// Handles a gateway's message that came on its own session or through a distributor.
+    fn handle_gateway_message(&mut self, now_ms: u64, wall_ms: u64, from: &UseFrom, up: SessionUp) {
         match up {
             SessionUp::Needs(needs) => {
                 self.registered.placement.need(now_ms, &from.zone, needs);
@@ -383,7 +403,7 @@
                 self.registered.placement.used(now_ms, from, used);
                 self.registered.placement.failing(now_ms, &failing);
             }
-            SessionUp::Crashes(crashes) => self.take_crashes(now_ms, wall_ms, crashes),
+            SessionUp::Crashes(crashes) => self.record_crashes(now_ms, wall_ms, crashes),
             SessionUp::Served(key) => {
                 self.registered.crashes.note_served(key, now_ms);
                 self.registered.crashes.served(key);
@@ -409,22 +429,22 @@
         }
     }
 
-    /// Tells followers what changed of placements, loads and the group.
-    pub(super) fn tell_followers(&mut self, now_ms: u64) {
-        self.tell_placed();
+    /// Sends followers the changed placements and, periodically, the group and the loads.
+    pub(super) fn update_followers(&mut self, now_ms: u64) {
+        self.send_placed();
         if now_ms < self.registered.loads_due_ms {
             return;
         }
         let period_ms = counts::period_ms(self.sessions.len());
         self.registered.loads_due_ms = now_ms + period_ms;
-        self.end_silent_links(now_ms);
-        self.note_gateways(now_ms);
-        self.tell_group(period_ms);
-        self.tell_loads(now_ms);
+        self.end_silent_sessions(now_ms);
+        self.update_gateways(now_ms);
+        self.send_group(period_ms);
+        self.send_loads(now_ms);
     }
 
-    /// Ends links of distributors that say nothing, so that gateways are not sent to them.
-    fn end_silent_links(&mut self, now_ms: u64) {
+    /// Ends sessions of silent distributors, so that gateways are not redirected to them.
+    fn end_silent_sessions(&mut self, now_ms: u64) {
         let mut silent = Vec::new();
         for (id, session) in &self.sessions {
             if session.is_silent(now_ms) {
@@ -433,18 +453,18 @@
             }
         }
         for id in silent {
-            self.send_elsewhere(id);
+            self.redirect_session(id);
         }
     }
 
-    fn tell_placed(&mut self) {
+    fn send_placed(&mut self) {
         let placed = self.registered.placement.take_placed();
         if !placed.is_empty() {
-            self.send_followers(|| SessionDown::Placed { reset: false, placed: placed.clone() });
+            self.send_to_followers(|| SessionDown::Placed { reset: false, placed: placed.clone() });
         }
     }
 
-    fn tell_group(&mut self, period_ms: u64) {
+    fn send_group(&mut self, period_ms: u64) {
         let mut group =
             Group { gateways: 0, counts_every_ms: period_ms as u32, ..Group::default() };
         for member in self.raft.members().0.values() {
@@ -460,14 +480,14 @@
                 group.servers.push(SessionServer { zone, address });
             }
         }
-        if !group.differs_enough(&self.registered.group_told) {
+        if !group.differs_enough(&self.registered.group_sent) {
             return;
         }
-        self.registered.group_told = group.clone();
-        self.send_followers(|| SessionDown::Group(group.clone()));
+        self.registered.group_sent = group.clone();
+        self.send_to_followers(|| SessionDown::Group(group.clone()));
     }
 
-    fn tell_loads(&mut self, now_ms: u64) {
+    fn send_loads(&mut self, now_ms: u64) {
         let totals =
             self.registered.counts.totals(now_ms, self.sessions.values(), std::iter::empty());
         for (endpoint, load) in &totals {
@@ -478,7 +498,7 @@
         }
     }
 
-    fn send_followers(&mut self, message: impl Fn() -> SessionDown) {
+    fn send_to_followers(&mut self, message: impl Fn() -> SessionDown) {
         self.sessions.retain(|_, session| {
             if session.hello.role == SessionRole::Owner || session.epoch.is_none() {
                 return true;
@@ -491,7 +511,7 @@
         });
     }
 
-    /// What endpoints hold, as far as this leader knows.
+    /// The adapters on endpoints, as far as this leader knows.
     pub fn all_placed(&self) -> Vec<Placed> {
         self.registered.placement.all_placed()
     }
--- a/src/control/replica/sessions.rs
+++ b/src/control/replica/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions with the leader: opening them, their messages, renewals, and telling them changes.
+//! The leader's sessions: opening, messages, lease renewals and the publication of changes.
 
 use std::sync::Arc;
 
@@ -11,35 +11,35 @@
 use crate::control::state::Operation;
 use crate::message::{SessionDown, SessionHello, SessionRole, SessionUp};
 
-/// Renewals that come within this time wait for one majority round; a round is a message to each
-/// replica and back, and gateways renew some three times a second each.
-const RENEWALS_GATHER_MS: u64 = 40;
+/// Time in which renewals are collected for one quorum round, which costs a message to each replica
+/// and a reply; each gateway renews some three times a second.
+const RENEWAL_BATCH_MS: u64 = 40;
 
-/// A renewal that waits for a majority round.
+/// A lease renewal that waits for a quorum round.
 pub(super) enum Renewal {
-    /// A gateway's own.
-    Own { session: u64, sent_at_ms: u64 },
-    /// A distributor's, for gateways behind it.
-    Behind { session: u64, number: u64, gateways: Vec<Arc<str>> },
+    /// Sent on the gateway's own session.
+    Direct { session: u64, sent_at_ms: u64 },
+    /// Sent by a distributor for its gateways.
+    ViaDistributor { session: u64, number: u64, gateways: Vec<Arc<str>> },
 }
 
 impl Replica {
-    pub(super) fn send_elsewhere(&mut self, session: u64) {
+    pub(super) fn redirect_session(&mut self, session: u64) {
         if let Some(session) = self.sessions.remove(&session) {
             session.send(SessionDown::NotLeader { leader: self.leader_address() });
         }
     }
 
-    /// Takes a renewal in; all that come within a short time wait for the same majority round.
-    pub(super) fn renew(&mut self, renewal: Renewal) {
+    /// Queues a renewal for the next quorum round.
+    pub(super) fn queue_renewal(&mut self, renewal: Renewal) {
         self.renewals.push(renewal);
     }
 
-    pub(super) fn confirm_renewals(&mut self, now_ms: u64) {
-        if self.renewals.is_empty() || now_ms < self.renewals_due_ms {
+    pub(super) fn start_renewal_round(&mut self, now_ms: u64) {
+        if self.renewals.is_empty() || now_ms < self.renewal_round_due_ms {
             return;
         }
-        self.renewals_due_ms = now_ms + RENEWALS_GATHER_MS;
+        self.renewal_round_due_ms = now_ms + RENEWAL_BATCH_MS;
         let renewals = std::mem::take(&mut self.renewals);
         self.read(Read::Renewals(renewals));
     }
@@ -58,8 +58,8 @@
             opened.send(SessionDown::NotLeader { leader: self.leader_address() });
             return;
         }
-        if let Some(near) = self.nearer_server(&opened.hello) {
-            opened.send(SessionDown::NotLeader { leader: Some(near) });
+        if let Some(distributor) = self.nearer_server(&opened.hello) {
+            opened.send(SessionDown::NotLeader { leader: Some(distributor) });
             return;
         }
         let SessionHello { name, boot_id, zone, address, .. } = opened.hello.clone();
@@ -75,18 +75,24 @@
         self.propose(wall_ms, operation, Waiter::Register { session });
     }
 
-    /// Takes a message of a session in.
-    pub fn session_message(&mut self, now_ms: u64, wall_ms: u64, session: u64, up: SessionUp) {
+    /// Handles a message of a session.
+    pub fn handle_session_message(
+        &mut self,
+        now_ms: u64,
+        wall_ms: u64,
+        session: u64,
+        up: SessionUp,
+    ) {
         let Some(found) = self.sessions.get_mut(&session) else { return };
-        if !found.hear(now_ms) {
+        if !found.record_message(now_ms) {
             warn!(event = "session_held_up", gateway = %found.hello.name);
-            self.send_elsewhere(session);
+            self.redirect_session(session);
             return;
         }
         let Some(epoch) = found.epoch else { return };
         let gateway = found.hello.name.clone();
         if found.hello.role != SessionRole::Owner {
-            self.follower_message(now_ms, wall_ms, session, up);
+            self.handle_follower_message(now_ms, wall_ms, session, up);
             return;
         }
         if self.state.fleet.gateway_epoch(&gateway) != Some(epoch) {
@@ -101,13 +107,13 @@
                 for summary in summaries {
                     self.summaries.put(summary);
                 }
-                self.renew(Renewal::Own { session, sent_at_ms });
+                self.queue_renewal(Renewal::Direct { session, sent_at_ms });
             }
             SessionUp::Leave => {
-                self.propose(wall_ms, Operation::Leave { gateway, epoch }, Waiter::Nobody);
+                self.propose(wall_ms, Operation::Leave { gateway, epoch }, Waiter::NoReply);
             }
             SessionUp::Release { endpoint, epoch } => {
-                self.propose(wall_ms, Operation::Release { endpoint, epoch }, Waiter::Nobody);
+                self.propose(wall_ms, Operation::Release { endpoint, epoch }, Waiter::NoReply);
             }
             SessionUp::Needs(_)
             | SessionUp::Traffic { .. }
@@ -127,7 +133,7 @@
         }
     }
 
-    /// Forgets a session whose stream ended; the gateway's lease runs on.
+    /// Removes a session whose stream has ended; the gateway's lease runs on.
     pub fn close(&mut self, session: u64) {
         if let Some(session) = self.sessions.remove(&session) {
             info!(event = "session_closed", gateway = %session.hello.name);
@@ -135,7 +141,7 @@
         }
     }
 
-    /// Tells all sessions what has changed since the last time.
+    /// Sends all sessions the changes since the last call.
     pub(super) fn publish(&mut self) {
         let changes = std::mem::take(&mut self.unpublished);
         if changes.is_empty() {
@@ -151,16 +157,18 @@
         });
     }
 
-    pub(super) fn renewed(&mut self, renewal: Renewal) {
+    pub(super) fn complete_renewal(&mut self, renewal: Renewal) {
         match renewal {
-            Renewal::Own { session, sent_at_ms } => self.renewed_own(session, sent_at_ms),
-            Renewal::Behind { session, number, gateways } => {
-                self.renewed_for(session, number, gateways);
+            Renewal::Direct { session, sent_at_ms } => {
+                self.complete_direct_renewal(session, sent_at_ms)
+            }
+            Renewal::ViaDistributor { session, number, gateways } => {
+                self.complete_distributor_renewal(session, number, gateways);
             }
         }
     }
 
-    fn renewed_own(&mut self, id: u64, sent_at_ms: u64) {
+    fn complete_direct_renewal(&mut self, id: u64, sent_at_ms: u64) {
         let index = self.applied;
         let Some(session) = self.sessions.get_mut(&id) else { return };
         session.renewed_at_ms = Some(self.registered.ticked_at_ms());
@@ -171,17 +179,17 @@
             return;
         }
         let summaries = self.summaries.unseen(session, &self.state);
-        let load_reports = session.unseen_reports(&self.load_reports, &self.state);
+        let load_reports = session.changed_reports(&self.load_reports, &self.state);
         if !session.send(SessionDown::Renewed { sent_at_ms, index, summaries, load_reports }) {
             self.sessions.remove(&id);
         }
     }
 
-    fn renewed_for(&mut self, id: u64, number: u64, gateways: Vec<Arc<str>>) {
+    fn complete_distributor_renewal(&mut self, id: u64, number: u64, gateways: Vec<Arc<str>>) {
         let now_ms = self.registered.ticked_at_ms();
         let Some(session) = self.sessions.get_mut(&id) else { return };
         session.renewed_at_ms = Some(now_ms);
-        session.renewed_for(now_ms, gateways);
+        session.record_renewals(now_ms, gateways);
         if !session.send(SessionDown::RenewedFor { number }) {
             self.sessions.remove(&id);
         }
--- a/src/control/replica/standings.rs
+++ b/src/control/replica/standings.rs
@@ -1,4 +1,4 @@
-//! Endpoints that end under requests, and how requests are treated that end them.
+//! Endpoint crashes and the standings of requests that may have caused them.
 
 use tracing::{info, warn};
 
@@ -7,13 +7,18 @@
 use crate::message::{EndpointCrash, RequestStanding, Standing};
 
 impl Replica {
-    /// Takes in which endpoints ended, as a gateway saw it.
-    pub(super) fn take_crashes(&mut self, now_ms: u64, wall_ms: u64, crashes: Vec<EndpointCrash>) {
+    /// Records endpoint crashes that a gateway observed.
+    pub(super) fn record_crashes(
+        &mut self,
+        now_ms: u64,
+        wall_ms: u64,
+        crashes: Vec<EndpointCrash>,
+    ) {
         for crash in crashes {
-            // Some dozens of gateways tell of the same end, and when an availability zone is lost some
-            // hundreds of endpoints end: only the first counts all of them.
+            // Dozens of gateways report the same crash, and the loss of an availability zone ends
+            // hundreds of endpoints, so the endpoints in use are counted only for the first report.
             let is_new = !self.registered.crashes.has_ended(&crash.endpoint);
-            let used = if is_new { self.endpoints_used(&crash) } else { 0 };
+            let used = if is_new { self.count_endpoints_used(&crash) } else { 0 };
             if is_new {
                 info!(
                     event = "endpoint_crashed",
@@ -29,8 +34,8 @@
         self.propose_standings(wall_ms);
     }
 
-    /// How many endpoints of the service ran something until this one ended, itself among them.
-    fn endpoints_used(&self, crash: &EndpointCrash) -> usize {
+    /// Counts the endpoints of the service that were in use until this one ended, including it.
+    fn count_endpoints_used(&self, crash: &EndpointCrash) -> usize {
         let mut used = 1;
         for endpoint in self.state.registry.endpoints().values() {
             let serves = endpoint.service == crash.service && endpoint.id != crash.endpoint;
@@ -42,23 +47,23 @@
         used
     }
 
-    /// Lets time pass for standings, and has those committed that were decided since.
+    /// Advances the crash records and proposes the standings decided since the last call.
     pub(super) fn advance_standings(&mut self, now_ms: u64, wall_ms: u64) {
         self.registered.crashes.advance(now_ms);
         self.propose_standings(wall_ms);
     }
 
-    /// Standings are committed before anybody is told: the next leader, and gateways that start anew,
-    /// have to know them.
+    /// Proposes decided standings. They are sent out only after the commit, since the next leader
+    /// and gateways that start later must know them.
     pub(super) fn propose_standings(&mut self, wall_ms: u64) {
         let decided = self.registered.crashes.take_decided();
         if !decided.is_empty() {
-            self.propose(wall_ms, Operation::SetStandings(decided), Waiter::Nobody);
+            self.propose(wall_ms, Operation::SetStandings(decided), Waiter::NoReply);
         }
     }
 }
 
-/// Logs how a request is treated from now on.
+/// Logs the new standing of a request.
 pub(super) fn log_standing(decided: &RequestStanding) {
     let RequestStanding { key, standing, .. } = decided;
     match standing {
--- a/src/control/replica/terms.rs
+++ b/src/control/replica/terms.rs
@@ -1,36 +1,38 @@
-//! When the leaders' terms began, as far as this replica has followed the log.
+//! Start times of leader terms as this replica observed them while applying the log.
 
-/// The first entries of terms, by when this replica applied them.
+/// Times at which this replica applied the first entries of the latest two terms.
 ///
-/// A replica that lags or has just started applies them late, so that a term never seems older than it is.
+/// A replica that lags or has just started applies them late, so a term is never taken for older
+/// than it is.
 #[derive(Debug, Default)]
 pub(super) struct Terms {
     /// The term of the last applied entry.
-    applied: u64,
-    /// Terms that were applied and whose time has not been noted.
-    fresh: u32,
-    began_at_ms: Option<u64>,
-    earlier_began_at_ms: Option<u64>,
+    latest_term: u64,
+    /// Number of terms whose first entry was applied since start times were last recorded.
+    new_terms: u32,
+    started_at_ms: Option<u64>,
+    previous_started_at_ms: Option<u64>,
 }
 
 impl Terms {
-    /// Notes that an entry of `term` was applied.
-    pub(super) fn applied(&mut self, term: u64) {
-        if term > self.applied {
-            self.applied = term;
-            self.fresh += 1;
+    /// Records that an entry of `term` was applied.
+    pub(super) fn record_applied(&mut self, term: u64) {
+        if term > self.latest_term {
+            self.latest_term = term;
+            self.new_terms += 1;
         }
     }
 
-    /// Notes when the terms began whose entries were applied since the last call.
-    pub(super) fn note(&mut self, now_ms: u64) {
-        for _ in 0..std::mem::take(&mut self.fresh) {
-            self.earlier_began_at_ms = self.began_at_ms.replace(now_ms);
+    /// Records `now_ms` as the start time of terms whose first entry was applied since the last
+    /// call.
+    pub(super) fn record_starts(&mut self, now_ms: u64) {
+        for _ in 0..std::mem::take(&mut self.new_terms) {
+            self.previous_started_at_ms = self.started_at_ms.replace(now_ms);
         }
     }
 
-    /// How long ago the term before the present one began; none if this replica has not seen it begin.
-    pub(super) fn earlier_began_ago_ms(&self, now_ms: u64) -> Option<u64> {
-        Some(now_ms.saturating_sub(self.earlier_began_at_ms?))
+    /// How long ago the previous term began, or `None` if this replica did not see it begin.
+    pub(super) fn previous_term_age_ms(&self, now_ms: u64) -> Option<u64> {
+        Some(now_ms.saturating_sub(self.previous_started_at_ms?))
     }
 }
--- a/src/control/server.rs
+++ b/src/control/server.rs
@@ -158,7 +158,7 @@
                 state.replica.open(now_ms, wall_ms(), session, hello, down);
             }
             ReplicaMessage::Up(session, up) => {
-                state.replica.session_message(now_ms, wall_ms(), session, up);
+                state.replica.handle_session_message(now_ms, wall_ms(), session, up);
             }
             ReplicaMessage::Close(session) => state.replica.close(session),
             ReplicaMessage::Listed(listed, load_reports) => {
--- a/src/control/session.rs
+++ b/src/control/session.rs
@@ -102,7 +102,7 @@
     /// Notes that a message came; false when it was held up on the way, with all that comes after it.
     ///
     /// A distributor is never silent, and what it tells of endpoints is wrong when it is old.
-    pub fn hear(&mut self, now_ms: u64) -> bool {
+    pub fn record_message(&mut self, now_ms: u64) -> bool {
         let is_silent = self.is_silent(now_ms);
         self.heard_at_ms = now_ms;
         !is_silent
@@ -115,7 +115,7 @@
     }
 
     /// Notes that the renewals of `gateways`, which a distributor sent, were confirmed.
-    pub fn renewed_for(&mut self, now_ms: u64, gateways: Vec<Arc<str>>) {
+    pub fn record_renewals(&mut self, now_ms: u64, gateways: Vec<Arc<str>>) {
         for gateway in gateways {
             self.members.insert(gateway, now_ms);
         }
@@ -123,7 +123,7 @@
     }
 
     /// True when the gateway behind it is `gateway`, which follows and can give orders now.
-    pub fn reaches(&self, now_ms: u64, gateway: &str) -> bool {
+    pub fn can_reach(&self, now_ms: u64, gateway: &str) -> bool {
         match self.hello.role {
             SessionRole::Owner => false,
             SessionRole::Follower => &*self.hello.name == gateway && self.is_confirmed(now_ms),
@@ -215,7 +215,7 @@
     }
 
     /// The reports on the gateway's own endpoints that differ from those sent last.
-    pub fn unseen_reports(
+    pub fn changed_reports(
         &mut self,
         reports: &HashMap<Arc<str>, u32>,
         state: &State,
