--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -67,7 +67,7 @@
 mutate "a request counts on its own load only" $owner 's/\&\& slot\.generation == generation\n/\n/' $scripts owner
 mutate "queues are bounded" $owner 's/if self\.queue\.len\(\) < self\.settings\.queue_max \{/if true {/' $scripts owner
 mutate "a damaged middle is refused" src/control/storage.rs 's/if let Some\(next\) = find_record\(&bytes, offset \+ 1\) \{/if let Some(next) = None::<usize> {/' --test storage
-mutate "a replaced log is dropped" src/control/storage.rs 's/self\.replaced = entry\.term != self\.base_term;/self.replaced = false;/' --test storage
+mutate "a replaced log is dropped" src/control/storage.rs 's/self\.replaced = entry\.term != self\.snapshot_term;/self.replaced = false;/' --test storage
 mutate "a cut stream is not whole" src/gateway/stream.rs 's/self\.done \&\& self\.buffer\.is_empty\(\)/true/' --test streams
 mutate "the version must be the one named" src/gateway/stream.rs 's/ \&\& version\.parse\(\) == Ok\(adapter\.version\)//' --test streams
 mutate "a new leader waits for old permits" src/control/permit.rs 's/now_ms \+ self\.budget\.load_timeout_ms \};/now_ms };/' --test permits
@@ -103,7 +103,7 @@
 mutate "the next leader looks for a former incarnation" $incarnations 's/self\.state\.registry\.has_former_incarnation\(known\)/false/' --test restarts
 mutate "an open order keeps the next holder waiting" src/control/placement/holders.rs 's/if self\.has_order_under_way\(\)/if false/' --test holders
 mutate "an order taken for lost may still come" src/control/placement/holders.rs 's/now_ms \+ LOST_ORDER_MS/now_ms/' --test holders
-mutate "a stalled disk leaves no lead" src/control/server.rs 's/self\.note_stalled\(\);//' --test stalled_disk
+mutate "a stalled disk leaves no lead" src/control/server.rs 's/self\.withdraw_leadership\(\);//' --test stalled_disk
 mutate "what was not written has not run" src/http.rs 's/if is_unsent\(&error\)/if false/; s/retry_canceled_requests\(true\)/retry_canceled_requests(false)/' --test http_client not_run
 mutate "what was not written goes out again" src/http.rs 's/retry_canceled_requests\(true\)/retry_canceled_requests(false)/' --test http_client
 mutate "a missed confirmation is waited for" src/gateway/lease.rs 's/CONFIRMATION_WAIT_MS: u64 = 500/CONFIRMATION_WAIT_MS: u64 = 0/' --test lease
--- a/src/control/api.rs
+++ b/src/control/api.rs
@@ -1,4 +1,4 @@
-//! Calls of a platform's interface to the replica in the same process.
+//! Access to the replica of this process for a platform's interface.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -9,33 +9,34 @@
 use crate::control::serving::Stage;
 use crate::message::{ControlReply, ControlRequest};
 
-/// A caller that waits longer than a second goes elsewhere, so an answer later than this is lost.
+/// Callers give up after a second and call another replica, so a later answer would be lost.
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// The replica of this process, as its platform's interface calls it.
+/// Calls the replica of this process.
 #[derive(Clone)]
 pub struct ControlApi {
     stage: Arc<RwLock<Stage>>,
 }
 
-/// What came of a call.
+/// The outcome of a call.
 #[derive(Debug)]
 pub enum CallOutcome {
     /// The leader's answer.
     Answered(ControlReply),
     /// Another replica leads, at this address among replicas.
     Elsewhere(SocketAddr),
-    /// Nothing certain can be said now; the caller may come again.
+    /// The outcome is unknown; the caller may retry.
     Unknown,
 }
 
 impl ControlApi {
-    /// The replica that `stage` comes to run.
+    /// Creates an interface to the replica that runs once `stage` is [`Stage::Running`].
     pub fn new(stage: Arc<RwLock<Stage>>) -> Self {
         Self { stage }
     }
 
-    /// Makes one call.
+    /// Sends one call to the replica. While another replica leads, heartbeats go to the distributor
+    /// of this process.
     pub async fn call(&self, request: ControlRequest) -> CallOutcome {
         let running = match &*self.stage.read().unwrap_or_else(PoisonError::into_inner) {
             Stage::Running(running) => running.clone(),
--- a/src/control/boot.rs
+++ b/src/control/boot.rs
@@ -1,9 +1,9 @@
-//! How a replica starts: founding a group, coming back, or joining in place of a lost one.
+//! Startup of a replica: founding a group, restarting, or joining in place of a lost replica.
 //!
-//! A data folder without an identity was never used or was lost, and the replica cannot tell which.
-//! It asks every other replica. If all of them are as empty, the group is founded; if any of them
-//! knows a group, the replica takes a new identity and joins as a learner. Until all have answered
-//! or one knows a group, it waits. So a replica that lost its disk never votes as who it was.
+//! A data folder without an identity was either never used or lost, and the replica cannot tell
+//! which, so it probes every other replica. If all of them are empty, the group is founded. If one
+//! of them belongs to a group, the replica draws a new id and joins as a learner. Otherwise it
+//! waits. So a replica that lost its disk never votes under its old id.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -27,20 +27,20 @@
 
 const PROBE_TIMEOUT_MS: u64 = 1_000;
 const PROBE_PAUSE: Duration = Duration::from_millis(100);
-/// Identities above this one are drawn; those below are founders.
+/// Ids from this one on are drawn at random; those below are of founders.
 const FIRST_DRAWN_ID: NodeId = 1 << 16;
 
 /// A replica that is ready to run.
 pub struct Booted {
     /// The replica.
     pub replica: Replica,
-    /// Its files.
+    /// Its storage.
     pub storage: Box<dyn Storage>,
-    /// True when it has to ask to be taken into the group.
+    /// True if it has to ask to join the group.
     pub joins: bool,
 }
 
-/// Brings the replica up to where it may take part.
+/// Prepares the replica until it can take part in the group.
 ///
 /// # Errors
 /// A data folder that cannot be used, or one that is damaged.
@@ -59,7 +59,7 @@
     };
     let mut opened = FileStorage::open(folder)?;
     if identity.started && opened.is_blank && opened.snapshot.is_none() {
-        let detail = "the log is missing though this replica has taken part; move the data folder \
+        let detail = "the log is missing although this replica has been part of a group; move the data folder \
                       away and start again to join as a new replica";
         return Err(Error::damaged("boot", folder.display().to_string(), detail));
     }
@@ -107,7 +107,8 @@
     Ok(Booted { replica, storage: Box::new(opened.storage), joins })
 }
 
-/// Marks the replica as started before it can vote, founders only once all of them are ready.
+/// Marks the replica as started before it can vote; a founder first waits until all founders are
+/// ready.
 async fn start(
     settings: &ControlSettings,
     stage: &Arc<RwLock<Stage>>,
@@ -139,7 +140,7 @@
             info!(event = "joining_as_new_replica", id = id);
             break Identity { id, founders: Members::default(), started: false };
         }
-        if !stages.contains(&None) && may_found(settings) {
+        if !stages.contains(&None) && can_found(settings) {
             break founding_identity(settings)?;
         }
         info!(event = "waiting_for_replicas", answered = stages.iter().flatten().count());
@@ -149,8 +150,9 @@
     Ok(identity)
 }
 
-/// Replicas that are all named found their group; seeds only do so at the system's first start.
-fn may_found(settings: &ControlSettings) -> bool {
+/// A group whose settings list all replicas can always be founded. With seeds, only a listed
+/// replica may found it, and only if its settings say so, at the first start of the system.
+fn can_found(settings: &ControlSettings) -> bool {
     let Some(seeds) = &settings.seeds else { return true };
     let own = settings.common.peers_address();
     seeds.found && settings.replicas.iter().any(|replica| replica.address == own)
@@ -174,10 +176,10 @@
     Ok(Identity { id, founders, started: false })
 }
 
-/// Asks every other replica how far it is; none for one that does not answer.
+/// Probes the startup stage of every other replica; `None` for one that does not answer.
 async fn probe_all(settings: &ControlSettings) -> Vec<Option<ProbeReply>> {
     let mut stages = Vec::new();
-    for address in others(settings) {
+    for address in other_replicas(settings) {
         let reply = Peer::new(address)
             .call(Channel::Control, &ControlRequest::Probe, PROBE_TIMEOUT_MS)
             .await;
@@ -189,7 +191,7 @@
     stages
 }
 
-fn others(settings: &ControlSettings) -> Vec<SocketAddr> {
+fn other_replicas(settings: &ControlSettings) -> Vec<SocketAddr> {
     let mut others = Vec::new();
     for replica in &settings.replicas {
         if replica.address != settings.common.peers_address() {
@@ -199,7 +201,7 @@
     others
 }
 
-/// Asks the group to take this replica in as a learner.
+/// Asks the group to add this replica as a learner.
 pub async fn ask_to_join(settings: &ControlSettings, id: NodeId) {
     let mut tried = std::collections::BTreeSet::new();
     let name = settings
@@ -211,7 +213,7 @@
             |replica| replica.name.clone(),
         );
     let request = ControlRequest::Join { id, name, address: settings.common.peers_address() };
-    let mut addresses = others(settings);
+    let mut addresses = other_replicas(settings);
     while let Some(address) = addresses.pop() {
         if !tried.insert(address) {
             continue;
@@ -220,7 +222,7 @@
             Peer::new(address).call(Channel::Control, &request, PROBE_TIMEOUT_MS).await;
         match reply {
             Ok(ControlReply::Joining) => return,
-            // The leader need not be among those that the settings name.
+            // The leader may be missing from the settings.
             Ok(ControlReply::NotLeader { leader: Some(leader) }) => addresses.push(leader),
             Ok(_) => {}
             Err(error) => debug!(event = "join_call_failed", peer = %address, error = %error),
--- a/src/control/client.rs
+++ b/src/control/client.rs
@@ -1,4 +1,4 @@
-//! Calls to whichever replica of control leads.
+//! Client for calls to the leader of control.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -16,8 +16,8 @@
 
 /// Finds the leader and sends calls to it.
 ///
-/// Every call may be sent more than once: declarations carry versions, claims and settlements carry
-/// the claim's id, and a permit that nobody takes runs out.
+/// A call may be sent more than once: declarations carry versions, claims and settlements carry the
+/// claim's id, and an unused permit expires.
 pub struct ControlClient {
     addresses: Vec<SocketAddr>,
     leader: Mutex<SocketAddr>,
@@ -25,18 +25,19 @@
 }
 
 impl ControlClient {
-    /// A client of the replicas at `addresses`, of which there must be one at least.
+    /// Creates a client of the replicas at `addresses`, which must not be empty.
     pub fn new(addresses: Vec<SocketAddr>) -> Self {
         let leader = Mutex::new(addresses[0]);
         Self { addresses, leader, peers: Peers::new() }
     }
 
-    /// The replica that is taken for the leader.
+    /// The presumed leader.
     pub fn leader(&self) -> SocketAddr {
         *self.leader.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Notes where the leader is, or that the replica at `tried` is not it.
+    /// Records the leader's address or, if that is not known, that the replica at `tried` does not
+    /// lead.
     pub fn redirect(&self, tried: SocketAddr, leader: Option<SocketAddr>) {
         let mut known = self.leader.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         if let Some(leader) = leader.filter(|leader| *leader != tried) {
@@ -54,7 +55,7 @@
     /// Sends `request` until a leader answers it or `timeout_ms` has passed.
     ///
     /// # Errors
-    /// No leader answered in time; the call may have taken effect all the same.
+    /// No leader answered in time; the call may still have taken effect.
     pub async fn call(&self, request: &ControlRequest, timeout_ms: u64) -> Result<ControlReply> {
         let clock = Clock::new();
         let mut may_have_run = false;
--- a/src/control/config.rs
+++ b/src/control/config.rs
@@ -1,4 +1,4 @@
-//! The accepted configuration, and the rule by which versions rise.
+//! Accepted declarations and the services rendered from them, with the version rules for updates.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 
 const MAX_PROBLEMS_PER_DOCUMENT: usize = 5;
 
-/// Every accepted declaration and the services made from them.
+/// The accepted declarations and the services rendered from them.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Config {
     documents: BTreeMap<(DocumentKind, Arc<str>), Document>,
@@ -18,10 +18,10 @@
 }
 
 impl Config {
-    /// Takes all of `documents` in, or none.
+    /// Accepts all of `documents` or none.
     ///
-    /// A document is accepted when its version is higher than the stored one, and again when
-    /// version and content are the same. Nothing is stored when `dry_run` is set.
+    /// A document is accepted if its version is higher than the stored one, or if version and
+    /// content are equal to it. Nothing is stored if `dry_run` is set.
     pub fn apply(
         &mut self,
         index: u64,
@@ -37,8 +37,11 @@
         for verdict in &verdicts {
             accepted &= !matches!(verdict, Verdict::Conflict { .. } | Verdict::Invalid { .. });
         }
-        let reply =
-            ApplyReply { accepted, index, verdicts: describe(&documents, verdicts.clone()) };
+        let reply = ApplyReply {
+            accepted,
+            index,
+            verdicts: document_verdicts(&documents, verdicts.clone()),
+        };
         if !accepted || dry_run {
             return (reply, Vec::new());
         }
@@ -65,7 +68,7 @@
         Verdict::Conflict { stored_version, same_version }
     }
 
-    /// The services that change, each with its new form, or none when it is retired.
+    /// Renders the services that change; a retired service is rendered as `None`.
     fn render_all(
         &self,
         documents: &[Document],
@@ -115,7 +118,7 @@
         rendered
     }
 
-    /// Renders the stored services of a changed template again.
+    /// Renders the stored services that use a changed template again; returns the problems found.
     fn render_dependents(
         &self,
         template: &Template,
@@ -170,7 +173,7 @@
         }
     }
 
-    /// The accepted declarations, filtered by kind and name.
+    /// The accepted declarations that match `kind` and `name`.
     pub fn documents(&self, kind: Option<DocumentKind>, name: Option<&str>) -> Vec<Document> {
         let mut found = Vec::new();
         for ((document_kind, document_name), document) in &self.documents {
@@ -191,7 +194,7 @@
     }
 }
 
-fn describe(documents: &[Document], verdicts: Vec<Verdict>) -> Vec<DocumentVerdict> {
+fn document_verdicts(documents: &[Document], verdicts: Vec<Verdict>) -> Vec<DocumentVerdict> {
     let mut described = Vec::with_capacity(documents.len());
     for (document, verdict) in documents.iter().zip(verdicts) {
         described.push(DocumentVerdict {
--- a/src/control/fleet.rs
+++ b/src/control/fleet.rs
@@ -1,4 +1,4 @@
-//! Gateways, endpoints, and which gateway owns which endpoint under which epoch.
+//! Gateways, listed endpoints, and the ownership of endpoints by gateways.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,19 +13,19 @@
 pub struct GatewayRecord {
     /// The unique name.
     pub name: Arc<str>,
-    /// Drawn at each start.
+    /// A random number drawn at each start.
     pub boot_id: u64,
     /// The availability zone.
     pub zone: Arc<str>,
-    /// Where other gateways reach it.
+    /// The address for other gateways.
     pub address: SocketAddr,
     /// The log index of its registration.
     pub epoch: u64,
-    /// True when it is stopping and may own nothing more.
+    /// True if it is stopping and must not own further endpoints.
     pub leaving: bool,
 }
 
-/// What kind of endpoint it is.
+/// The kind of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum EndpointKind {
@@ -40,19 +40,19 @@
 pub struct ListedEndpoint {
     /// The unique name.
     pub name: Arc<str>,
-    /// Where it serves HTTP.
+    /// The HTTP address.
     pub address: SocketAddr,
     /// The availability zone.
     pub zone: Arc<str>,
-    /// The pool that it belongs to.
+    /// The pool.
     pub pool: Arc<str>,
     /// Engine or plain service.
     pub kind: EndpointKind,
-    /// True when it refuses orders with an epoch lower than the highest it has seen.
+    /// True if it refuses orders with an epoch below the highest it has seen.
     pub checks_epoch: bool,
-    /// How many requests a plain service takes at once; engines tell it themselves.
+    /// How many requests a plain service takes at once; engines report this themselves.
     pub places: u32,
-    /// True when the platform is about to stop it.
+    /// True if the platform is about to stop it.
     pub leaving: bool,
 }
 
@@ -61,11 +61,11 @@
 pub struct EndpointRecord {
     /// The endpoint as listed.
     pub listed: ListedEndpoint,
-    /// The gateway that alone may send work and orders to it.
+    /// The only gateway that may send requests and orders to it.
     pub owner: Option<Arc<str>>,
     /// Rises with each change of owner; the fencing token of orders.
     pub epoch: u64,
-    /// The gateway that is to own it once the owner has released it.
+    /// The gateway that becomes the owner once the current owner has released it.
     pub successor: Option<Arc<str>>,
 }
 
@@ -76,20 +76,20 @@
     }
 }
 
-/// Who a gateway is when it registers.
+/// The data with which a gateway registers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Registration {
     /// The unique name.
     pub name: Arc<str>,
-    /// Drawn at each start.
+    /// A random number drawn at each start.
     pub boot_id: u64,
     /// The availability zone.
     pub zone: Arc<str>,
-    /// Where other gateways reach it.
+    /// The address for other gateways.
     pub address: SocketAddr,
 }
 
-/// Every gateway and endpoint of the region.
+/// The gateways and listed endpoints of the region.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Fleet {
     gateways: BTreeMap<Arc<str>, GatewayRecord>,
@@ -112,7 +112,7 @@
         self.gateways.get(name).map(|gateway| gateway.epoch)
     }
 
-    /// Registers a gateway under the epoch `index`; an earlier incarnation loses what it owned.
+    /// Registers a gateway under the epoch `index`; an earlier incarnation loses its endpoints.
     pub fn register(&mut self, index: u64, registration: Registration) -> Vec<Change> {
         let mut changes = Vec::new();
         if let Some(known) = self.gateways.get(&registration.name)
@@ -120,7 +120,7 @@
         {
             return changes;
         }
-        self.disown(&registration.name, index, &mut changes);
+        self.remove_owner(&registration.name, index, &mut changes);
         let Registration { name, boot_id, zone, address } = registration;
         let record = GatewayRecord {
             name: name.clone(),
@@ -136,7 +136,7 @@
         changes
     }
 
-    /// Ends the registration of a gateway whose lease ran out.
+    /// Ends the registration of a gateway whose lease has expired.
     pub fn expire(&mut self, index: u64, name: &str, epoch: u64) -> Vec<Change> {
         let mut changes = Vec::new();
         if self.gateway_epoch(name) != Some(epoch) {
@@ -144,7 +144,7 @@
         }
         let Some((name, _)) = self.gateways.remove_entry(name) else { return changes };
         changes.push(Change::GatewayRemoved(name.clone()));
-        self.disown(&name, index, &mut changes);
+        self.remove_owner(&name, index, &mut changes);
         self.rebalance(index, &mut changes);
         changes
     }
@@ -162,7 +162,7 @@
         changes
     }
 
-    /// Passes a released endpoint on to its successor.
+    /// Hands a released endpoint over to its successor.
     pub fn release(&mut self, index: u64, endpoint: &str, epoch: u64) -> Vec<Change> {
         let mut changes = Vec::new();
         let Some(record) = self.endpoints.get_mut(endpoint) else { return changes };
@@ -176,7 +176,7 @@
         changes
     }
 
-    /// Takes over what changed in the platform's list.
+    /// Applies changes in the platform's list.
     pub fn list(
         &mut self,
         index: u64,
@@ -206,7 +206,8 @@
         changes
     }
 
-    fn disown(&mut self, gateway: &str, index: u64, changes: &mut Vec<Change>) {
+    /// Takes all endpoints from `gateway`: each goes to its successor, if it has one.
+    fn remove_owner(&mut self, gateway: &str, index: u64, changes: &mut Vec<Change>) {
         for record in self.endpoints.values_mut() {
             if record.successor.as_deref() == Some(gateway) {
                 record.successor = None;
@@ -220,10 +221,10 @@
         }
     }
 
-    /// Gives every endpoint an owner and evens out how many each gateway of a pool owns.
+    /// Assigns an owner to every endpoint and evens out the number of endpoints per gateway.
     ///
-    /// Endpoints without an owner change hands at once; the others get a successor and change
-    /// hands when their owner releases them.
+    /// Endpoints without an owner are assigned at once; the others get a successor, which becomes
+    /// the owner when the current one releases them.
     fn rebalance(&mut self, index: u64, changes: &mut Vec<Change>) {
         let mut loads = self.loads();
         if loads.is_empty() {
@@ -233,7 +234,7 @@
             if record.owner.is_some() {
                 continue;
             }
-            let owner = lightest(&loads, &record.listed.zone, &self.gateways);
+            let owner = least_loaded(&loads, &record.listed.zone, &self.gateways);
             loads.entry(owner.clone()).and_modify(|load| *load += 1);
             record.owner = Some(owner);
             record.epoch = index;
@@ -245,9 +246,10 @@
             }
             let Some(owner) = &record.owner else { continue };
             let owner_load = loads.get(owner).copied();
-            let successor = lightest(&loads, &record.listed.zone, &self.gateways);
+            let successor = least_loaded(&loads, &record.listed.zone, &self.gateways);
             let successor_load = loads.get(&successor).copied().unwrap_or(0);
-            // A move must leave the successor no fuller than the owner, or it would go back.
+            // The successor must not end up with more endpoints than the owner, or the endpoint
+            // would move back.
             if owner_load.is_some_and(|load| load < successor_load + 2) {
                 continue;
             }
@@ -260,7 +262,8 @@
         }
     }
 
-    /// How many endpoints each gateway that may own some has or is to have.
+    /// The number of endpoints that each gateway owns or is to own, for gateways that are not
+    /// leaving.
     fn loads(&self) -> BTreeMap<Arc<str>, usize> {
         let mut loads = BTreeMap::new();
         for gateway in self.gateways.values() {
@@ -281,15 +284,15 @@
 }
 
 /// The gateway with the fewest endpoints; among equals one in `zone`, then the first by name.
-fn lightest(
+fn least_loaded(
     loads: &BTreeMap<Arc<str>, usize>,
     zone: &str,
     gateways: &BTreeMap<Arc<str>, GatewayRecord>,
 ) -> Arc<str> {
     let mut best: Option<(usize, bool, &Arc<str>)> = None;
     for (name, load) in loads {
-        let elsewhere = gateways.get(name).is_none_or(|gateway| &*gateway.zone != zone);
-        let candidate = (*load, elsewhere, name);
+        let is_other_zone = gateways.get(name).is_none_or(|gateway| &*gateway.zone != zone);
+        let candidate = (*load, is_other_zone, name);
         if best.is_none_or(|best| candidate < best) {
             best = Some(candidate);
         }
--- a/src/control/ledger.rs
+++ b/src/control/ledger.rs
@@ -1,9 +1,10 @@
-//! The run ledger: calls that may not be repeated run at most once.
+//! The run ledger, which makes calls that must not be repeated run at most once.
 //!
-//! A claim is committed before the call is dispatched and its outcome after it. A key whose outcome
-//! is final is never granted again. After the retention time only the recorded answer is dropped;
-//! the key itself stays, unless it tells its own time of issue: then calls with a key older than
-//! the retention time are refused, and the key can be forgotten without a call being run twice.
+//! A claim is committed before the call is dispatched, and its outcome afterwards. A key with a
+//! final outcome is never granted again. After the retention time only the recorded answer is
+//! dropped and the key is kept, unless the key carries its time of issue: calls with a key older
+//! than the retention time are refused, so such a key can be removed without a call being run
+//! twice.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -13,11 +14,11 @@
 
 use crate::message::AdapterKey;
 
-/// Names a key within its workspace and service.
+/// Digest of a key, workspace and service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct KeyDigest(pub [u8; 16]);
 
-/// Names a request body.
+/// Digest of a call's method, path and body.
 pub type BodyDigest = [u8; 16];
 
 impl KeyDigest {
@@ -28,7 +29,7 @@
             hasher.update((part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
-        Self(first_half(&hasher.finalize()))
+        Self(truncate_digest(&hasher.finalize()))
     }
 }
 
@@ -39,44 +40,44 @@
         hasher.update((part.len() as u64).to_le_bytes());
         hasher.update(part);
     }
-    first_half(&hasher.finalize())
+    truncate_digest(&hasher.finalize())
 }
 
-fn first_half(digest: &[u8]) -> [u8; 16] {
+fn truncate_digest(digest: &[u8]) -> [u8; 16] {
     let mut half = [0; 16];
     half.copy_from_slice(&digest[..16]);
     half
 }
 
-/// A claim of one call.
+/// A claim to run a call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
     /// The key.
     pub key: KeyDigest,
-    /// What is to be run.
+    /// The digest of the call.
     pub body: BodyDigest,
-    /// The claim's own id: a claim that is sent again is the same claim.
+    /// The claim's id; a resent claim has the same id.
     pub claim_id: u128,
-    /// The gateway that claims.
+    /// The claiming gateway.
     pub gateway: Arc<str>,
     /// The epoch of its registration.
     pub gateway_epoch: u64,
-    /// When the caller made the key, if the key tells.
+    /// When the caller issued the key, if the key carries it.
     pub issued_at_ms: Option<u64>,
 }
 
 /// The answer to a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimOutcome {
-    /// The claimer may run the call, once.
+    /// The claiming gateway may run the call once.
     Granted,
-    /// Another claim of this key is under way.
+    /// Another claim of this key is in progress.
     InProgress,
-    /// The call ran; this was the answer.
+    /// The call ran with this answer.
     Finished(Arc<RecordedAnswer>),
     /// The call ran; the answer is no longer kept or was too large to keep.
     FinishedWithoutAnswer,
-    /// Whether the call ran is not known and will never be.
+    /// Whether the call ran is unknown and will stay so.
     Unknown,
     /// The key was used for another call.
     OtherBody,
@@ -84,14 +85,14 @@
     TooOld,
     /// The ledger is full.
     Full,
-    /// The claimer's registration has ended.
+    /// The claiming gateway's registration has ended, or the claim was already settled as not run.
     StaleGateway,
 }
 
-/// What became of a claimed call.
+/// The outcome of a claimed call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Settlement {
-    /// It ran, and this was the answer; none when too large to keep.
+    /// It ran with this answer, or `None` if the answer was too large to keep.
     Finished(Option<Arc<RecordedAnswer>>),
     /// It certainly did not run.
     NotRun,
@@ -99,7 +100,7 @@
     Unknown,
 }
 
-/// An answer as it was given.
+/// An answer recorded for repetition.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedAnswer {
     /// The HTTP status.
@@ -112,12 +113,12 @@
     pub body: Vec<u8>,
 }
 
-/// Bounds of the ledger.
+/// Limits of the ledger.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct LedgerLimits {
-    /// How long answers are kept, and keys that tell their time of issue.
+    /// How long answers are kept, and keys that carry their time of issue.
     pub retention_ms: u64,
-    /// The most keys; a new claim is refused beyond it.
+    /// Most keys; further new keys are refused.
     pub max_keys: usize,
 }
 
@@ -143,12 +144,12 @@
     Unknown,
 }
 
-/// Every key that was claimed.
+/// The claimed keys and their outcomes.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Ledger {
     limits: LedgerLimits,
     records: BTreeMap<KeyDigest, Record>,
-    /// Settled keys in the order of their settlement.
+    /// Settled keys with their settlement times, in order of settlement.
     settled: VecDeque<(u64, KeyDigest)>,
 }
 
@@ -158,7 +159,7 @@
         Self::default()
     }
 
-    /// Sets the bounds, which every replica must take from the log.
+    /// Sets the limits, which every replica must take from the log.
     pub fn set_limits(&mut self, limits: LedgerLimits) {
         self.limits = limits;
     }
@@ -168,12 +169,13 @@
         self.records.len()
     }
 
-    /// True without any key.
+    /// True if there are no keys.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Takes a claim; `gateway_is_current` tells whether the claimer's registration still holds.
+    /// Processes a claim; `gateway_is_current` tells whether the claiming gateway's registration is
+    /// still valid.
     pub fn claim(&mut self, now_ms: u64, claim: &Claim, gateway_is_current: bool) -> ClaimOutcome {
         self.expire(now_ms);
         if let Some(record) = self.records.get(&claim.key) {
@@ -188,7 +190,8 @@
                 RecordState::Finished(Some(answer)) => Some(ClaimOutcome::Finished(answer.clone())),
                 RecordState::Finished(None) => Some(ClaimOutcome::FinishedWithoutAnswer),
                 RecordState::Unknown => Some(ClaimOutcome::Unknown),
-                // A late copy of the claim that was already declared not run must not open it again.
+                // A late duplicate of a claim that was settled as not run must not be granted
+                // again.
                 RecordState::NotRun if record.claim_id == claim.claim_id => {
                     Some(ClaimOutcome::StaleGateway)
                 }
@@ -225,7 +228,7 @@
         issued_at_ms.is_some_and(|issued| issued + self.limits.retention_ms <= now_ms)
     }
 
-    /// Records what became of a claim; what is settled already stays as it is.
+    /// Records the outcome of a claim; a settled claim stays as it is.
     pub fn settle(&mut self, now_ms: u64, key: KeyDigest, claim_id: u128, settlement: Settlement) {
         let Some(record) = self.records.get_mut(&key) else { return };
         if record.claim_id != claim_id || !matches!(record.state, RecordState::Claimed { .. }) {
@@ -239,14 +242,15 @@
         self.settled.push_back((now_ms, key));
     }
 
-    /// Settles the claims of a gateway whose registration has ended: nobody can tell any more
-    /// whether they ran.
-    pub fn abandon(&mut self, now_ms: u64, gateway: &str, up_to_epoch: u64) {
+    /// Settles the open claims of a gateway whose registration has ended as unknown: whether the
+    /// calls ran can no longer be found out.
+    pub fn abandon_claims(&mut self, now_ms: u64, gateway: &str, up_to_epoch: u64) {
         for (key, record) in &mut self.records {
-            let RecordState::Claimed { gateway: claimer, gateway_epoch } = &record.state else {
+            let RecordState::Claimed { gateway: claim_gateway, gateway_epoch } = &record.state
+            else {
                 continue;
             };
-            if &**claimer != gateway || *gateway_epoch > up_to_epoch {
+            if &**claim_gateway != gateway || *gateway_epoch > up_to_epoch {
                 continue;
             }
             record.state = RecordState::Unknown;
@@ -265,8 +269,8 @@
                 continue;
             }
             if let Some(issued_at_ms) = record.issued_at_ms {
-                // A key may claim to be younger than its settlement; it goes only once every call
-                // with it would be refused as too old.
+                // A key may carry a time of issue after its settlement. It is removed only when
+                // every call with it would be refused as too old.
                 if issued_at_ms + self.limits.retention_ms <= now_ms {
                     self.records.remove(&key);
                 } else {
@@ -276,7 +280,7 @@
             }
             match &mut record.state {
                 RecordState::Finished(answer) => *answer = None,
-                // It did not run, so a later claim runs it for the first time.
+                // The call did not run, so a later claim may run it.
                 RecordState::NotRun => {
                     self.records.remove(&key);
                 }
--- a/src/control/listing.rs
+++ b/src/control/listing.rs
@@ -1,7 +1,7 @@
-//! Reading the platform's list of instances.
+//! Polling of the platform's list of instances.
 //!
-//! The list lags behind reality, so it only says which endpoints exist and which are about to
-//! leave; whether one answers is seen by its owner.
+//! The list is out of date by the time it is read, so it only tells which endpoints exist and which
+//! are about to stop; whether an endpoint answers is observed by its owner.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,7 +22,7 @@
 const LIST_MAX_BYTES: usize = 16 << 20;
 const LIST_TIMEOUT_MS: u64 = 2_000;
 
-/// One instance as the platform lists it at `GET /instances`.
+/// An instance in the platform's answer to `GET /instances`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct PlatformInstance {
     /// The unique name.
@@ -35,22 +35,23 @@
     pub pool: Arc<str>,
     /// Live or leaving.
     pub state: PlatformState,
-    /// How many requests the platform saw running there, some time ago; not every platform tells.
+    /// Number of requests that the platform saw running on it some time ago; not every platform
+    /// reports it.
     #[serde(default)]
     pub running: Option<u32>,
 }
 
-/// The states of the platform's list.
+/// The state of an instance in the platform's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum PlatformState {
-    /// It takes work.
+    /// Accepts requests.
     Live,
-    /// It is about to stop.
+    /// About to stop.
     Leaving,
 }
 
-/// Reads the list again and again while this replica leads.
+/// Polls the list while this replica leads, and sends it to the replica.
 pub async fn poll(
     settings: ControlSettings,
     address: SocketAddr,
@@ -76,7 +77,7 @@
     }
 }
 
-/// What the list says: which endpoints there are, and how loaded some of them were.
+/// The endpoints in the list and the load reports on plain ones.
 struct Listing {
     endpoints: Vec<ListedEndpoint>,
     load_reports: Vec<LoadReport>,
@@ -100,12 +101,12 @@
         if let (EndpointKind::Plain, Some(running)) = (pool.kind, instance.running) {
             load_reports.push(LoadReport { endpoint: instance.name.clone(), running });
         }
-        endpoints.push(describe(instance, pool));
+        endpoints.push(listed_endpoint(instance, pool));
     }
     Ok(Listing { endpoints, load_reports })
 }
 
-fn describe(instance: PlatformInstance, pool: &PoolSettings) -> ListedEndpoint {
+fn listed_endpoint(instance: PlatformInstance, pool: &PoolSettings) -> ListedEndpoint {
     ListedEndpoint {
         name: instance.name,
         address: instance.address,
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,4 +1,5 @@
-//! Control: the replicated log and what is kept in it.
+//! Control: the replicated state of the region, the consensus protocol behind it, and the replicas
+//! that serve it.
 
 pub mod api;
 pub mod boot;
--- a/src/control/permit.rs
+++ b/src/control/permit.rs
@@ -1,21 +1,21 @@
-//! The weight store's budget, shared among all gateways.
+//! Permits for loads from the weight store, which share its budget among all gateways.
 //!
-//! Only the leader grants permits, and keeps them in memory. A new leader does not know what the
-//! one before it granted, so it grants nothing until the longest permit has run out.
+//! Only the leader grants permits, and it keeps them in memory. A new leader does not know the
+//! permits of the previous one, so it grants none until the longest of them has expired.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// What the weight store allows.
+/// Load limits of the weight store.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct StoreBudget {
-    /// Loads that may start in a second.
+    /// Most loads that may start in a second.
     pub loads_per_s: f64,
-    /// Loads that may run at once.
+    /// Most loads that may run at once.
     pub concurrent_loads: usize,
-    /// The longest time that a load takes; a permit that is not given back ends then.
+    /// The longest duration of a load; a permit that is not returned expires after it.
     pub load_timeout_ms: u64,
 }
 
@@ -33,16 +33,16 @@
     until_ms: u64,
 }
 
-/// What a request for a permit came to.
+/// The outcome of a request for a permit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PermitOutcome {
-    /// A permit with this number.
+    /// A permit with this id.
     Granted(u64),
-    /// None in time; ask again after so many milliseconds.
+    /// No permit in time; retry after this many milliseconds.
     Denied(u64),
 }
 
-/// Grants permits within the budget, the most urgent request first.
+/// Grants permits within the budget, to the most urgent request first.
 #[derive(Debug)]
 pub struct Permits {
     budget: StoreBudget,
@@ -51,11 +51,11 @@
     waiting: Vec<Waiting>,
     tokens: f64,
     refilled_at_ms: u64,
-    closed_until_ms: u64,
+    paused_until_ms: u64,
 }
 
 impl Permits {
-    /// An empty set of permits that grants from the start.
+    /// Creates an empty set of permits that grants from the start.
     pub fn new(budget: StoreBudget, now_ms: u64) -> Self {
         Self {
             budget,
@@ -64,23 +64,24 @@
             waiting: Vec::new(),
             tokens: 1.0,
             refilled_at_ms: now_ms,
-            closed_until_ms: 0,
+            paused_until_ms: 0,
         }
     }
 
-    /// Forgets everything and grants nothing until what another leader granted has run out.
+    /// Drops all permits and requests, and grants none until the permits of the previous leader
+    /// have expired.
     ///
-    /// `epoch` keeps the numbers of permits apart from those of other leaders.
+    /// `epoch` keeps permit ids distinct from those of other leaders.
     pub fn take_over(&mut self, now_ms: u64, epoch: u64, first_leader: bool) {
         self.granted.clear();
         self.waiting.clear();
         self.tokens = 1.0;
         self.refilled_at_ms = now_ms;
         self.next_id = epoch << 32;
-        self.closed_until_ms = if first_leader { 0 } else { now_ms + self.budget.load_timeout_ms };
+        self.paused_until_ms = if first_leader { 0 } else { now_ms + self.budget.load_timeout_ms };
     }
 
-    /// Takes a request in; its outcome comes from [`poll`](Self::poll) under `token`.
+    /// Adds a request; [`poll`](Self::poll) returns its outcome under `token`.
     pub fn request(
         &mut self,
         now_ms: u64,
@@ -92,24 +93,24 @@
         self.waiting.push(Waiting { token, gateway, urgency, until_ms: now_ms + wait_ms });
     }
 
-    /// Takes a permit back.
+    /// Returns a permit that `gateway` holds.
     pub fn give_back(&mut self, gateway: &str, id: u64) {
         if self.granted.get(&id).is_some_and(|granted| &*granted.gateway == gateway) {
             self.granted.remove(&id);
         }
     }
 
-    /// Takes back a permit whose asker has gone.
+    /// Revokes a permit whose requester has gone.
     pub fn revoke(&mut self, id: u64) {
         self.granted.remove(&id);
     }
 
-    /// The outcomes that are due, by token.
+    /// Grants and denies what is due; returns the outcomes by token.
     pub fn poll(&mut self, now_ms: u64) -> Vec<(u64, PermitOutcome)> {
         self.refill(now_ms);
         self.granted.retain(|_, granted| granted.expires_at_ms > now_ms);
         let mut outcomes = Vec::new();
-        while now_ms >= self.closed_until_ms
+        while now_ms >= self.paused_until_ms
             && self.tokens >= 1.0
             && self.granted.len() < self.budget.concurrent_loads
         {
@@ -133,12 +134,12 @@
         outcomes
     }
 
-    /// The number of loads that hold a permit.
+    /// The number of permits in use.
     pub fn in_use(&self) -> usize {
         self.granted.len()
     }
 
-    /// The number of requests that wait.
+    /// The number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
@@ -161,8 +162,8 @@
     }
 
     fn retry_after_ms(&self, now_ms: u64) -> u64 {
-        let closed_ms = self.closed_until_ms.saturating_sub(now_ms);
+        let paused_ms = self.paused_until_ms.saturating_sub(now_ms);
         let queue_ms = self.waiting.len() as f64 / self.budget.loads_per_s * 1_000.0;
-        closed_ms.max(queue_ms as u64).max(100)
+        paused_ms.max(queue_ms as u64).max(100)
     }
 }
--- a/src/control/process.rs
+++ b/src/control/process.rs
@@ -1,4 +1,4 @@
-//! The process of one replica from start to planned stop.
+//! The process of a control replica, from its start to a planned stop.
 
 use std::sync::atomic::AtomicBool;
 use std::sync::{Arc, PoisonError, RwLock};
@@ -31,13 +31,13 @@
 const JOIN_PAUSE: Duration = Duration::from_millis(500);
 const TRANSFER_PAUSE: Duration = Duration::from_millis(200);
 
-/// What a platform adds to control: its own interface for endpoints and operators.
+/// A platform's interface to control for endpoints and operators.
 pub struct ControlBorder {
-    /// Makes what serves the interface.
+    /// Creates the handler that serves the interface.
     pub serve_api: Box<dyn FnOnce(ControlApi) -> Arc<dyn HttpHandler> + Send>,
 }
 
-/// Runs a replica until it is told to stop.
+/// Runs a replica until the process receives SIGTERM.
 ///
 /// # Errors
 /// A listener that cannot be opened, or a data folder that cannot be used.
@@ -45,7 +45,7 @@
     run_with(settings, None).await
 }
 
-/// Runs a replica with a platform's interface until it is told to stop.
+/// Runs a replica with a platform's interface until the process receives SIGTERM.
 ///
 /// # Errors
 /// A listener that cannot be opened, or a data folder that cannot be used.
@@ -74,7 +74,7 @@
         booted = boot::boot(&settings, &stage, clock, &metrics) => booted?,
         _ = terminate.recv() => return Ok(()),
     };
-    // The replica is large, and on its way into its actor it stands in the future several times.
+    // Boxed because the replica is large and would otherwise be in the future several times.
     let running = Box::pin(start(&settings, booted, clock, metrics)).await?;
     let actor = running.replica.clone();
     *stage.write().unwrap_or_else(PoisonError::into_inner) = Stage::Running(running);
@@ -96,7 +96,7 @@
 ) -> Result<Running> {
     let id = booted.replica.raft.id();
     let leads = Arc::new(AtomicBool::new(false));
-    let (leader, leader_known) = watch::channel(None);
+    let (leader, leader_updates) = watch::channel(None);
     let arguments = ReplicaArguments {
         replica: booted.replica,
         storage: booted.storage,
@@ -129,11 +129,11 @@
     let common = &settings.common;
     let (name, zone) = (common.name.clone(), common.zone.clone());
     let hello = distribution::hello(name, rand::rng().random(), zone, common.peers_address());
-    let distributor = distribution::spawn(hello, clock, leader_known.clone());
-    Ok(Running { replica: actor, distributor, leads, leader: leader_known })
+    let distributor = distribution::spawn(hello, clock, leader_updates.clone());
+    Ok(Running { replica: actor, distributor, leads, leader: leader_updates })
 }
 
-/// True for a replica that is no member, or that hears of no leader and may have been replaced.
+/// True if the replica is not a member, or knows no leader and may have been replaced.
 async fn needs_to_join(actor: &ActorRef<ReplicaMessage>, id: u64) -> bool {
     let Ok(dump) = ractor::call_t!(actor, ReplicaMessage::Dump, DUMP_TIMEOUT_MS) else {
         return true;
--- a/src/control/registry.rs
+++ b/src/control/registry.rs
@@ -1,4 +1,5 @@
-//! What is replicated of routes, registered endpoints and versions of weights.
+//! The replicated registry: routing configuration, registered endpoints, weight versions and
+//! request standings.
 
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::net::SocketAddr;
@@ -14,20 +15,20 @@
 };
 use crate::routing::RoutingConfiguration;
 
-/// Incarnations that ended and must not come back with a late heartbeat; at 4,800 restarts a day
-/// this covers half a day, and heartbeats are late by seconds.
-const DEPARTED_MAX: usize = 2_400;
+/// Most ended incarnations kept so that a late heartbeat does not register them again. At 4,800
+/// restarts a day this covers half a day, and heartbeats are late by seconds.
+const ENDED_IDS_MAX: usize = 2_400;
 
-/// Holders that are remembered for addresses where no endpoint is; restarts take seconds, and 4,800 a
+/// Most order holders kept for addresses without an endpoint; restarts take seconds, and 4,800 a
 /// day are expected.
 const UNUSED_HOLDERS_MAX: usize = 2_400;
 
-/// Routes, registered endpoints and the newest versions of weights.
+/// Routing, registered endpoints, the newest weight versions and request standings.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Registry {
     routing: Option<StoredRouting>,
     endpoints: BTreeMap<Arc<str>, RegisteredEndpoint>,
-    departed: VecDeque<Arc<str>>,
+    ended_ids: VecDeque<Arc<str>>,
     versions: BTreeMap<WeightsName, u64>,
     order_holders: OrderHolders,
     copies: BTreeMap<Arc<str>, VecDeque<WeightsName>>,
@@ -61,36 +62,36 @@
         &self.endpoints
     }
 
-    /// True when the incarnation `id` has ended.
+    /// True if the incarnation `id` has ended and is still remembered.
     pub fn has_departed(&self, id: &str) -> bool {
-        self.departed.iter().any(|departed| &**departed == id)
+        self.ended_ids.iter().any(|ended_id| &**ended_id == id)
     }
 
-    /// True when another incarnation of the endpoint's name has ended, as far back as that is kept.
+    /// True if an ended incarnation of the endpoint's name is still remembered.
     pub fn has_former_incarnation(&self, endpoint: &RegisteredEndpoint) -> bool {
         let is_of_name = |id: &str| {
-            let rest = id.strip_prefix(&*endpoint.name);
-            rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('@'))
+            let suffix = id.strip_prefix(&*endpoint.name);
+            suffix.is_some_and(|suffix| suffix.is_empty() || suffix.starts_with('@'))
         };
-        self.departed.iter().any(|id| *id != endpoint.id && is_of_name(id))
+        self.ended_ids.iter().any(|id| *id != endpoint.id && is_of_name(id))
     }
 
-    /// The newest version of `name`; 1 when none was ever named.
+    /// The newest version of `name`; 1 if none was set.
     pub fn version(&self, name: &WeightsName) -> u64 {
         self.versions.get(name).copied().unwrap_or(1)
     }
 
-    /// The versions that were named.
+    /// The newest versions that were set.
     pub fn versions(&self) -> &BTreeMap<WeightsName, u64> {
         &self.versions
     }
 
-    /// Which gateways give endpoints their orders.
+    /// The gateways that send orders to endpoints, by address.
     pub fn order_holders(&self) -> &OrderHolders {
         &self.order_holders
     }
 
-    /// Records under `token` which gateways give endpoints their orders from now on.
+    /// Records under the fencing token `token` which gateways send orders to endpoints from now on.
     pub fn choose_holders(&mut self, token: u64, choices: Vec<HolderChoice>) {
         for HolderChoice { address, gateway } in choices {
             self.order_holders.insert(address, OrderHolder { gateway, token });
@@ -102,7 +103,7 @@
         self.order_holders.retain(|address, _| used.contains(address));
     }
 
-    /// Weights that endpoints have copies of, the latest last; endpoints do not tell it themselves.
+    /// Weights of which endpoints have copies, the latest last; endpoints do not report them.
     pub fn copies(&self) -> &BTreeMap<Arc<str>, VecDeque<WeightsName>> {
         &self.copies
     }
@@ -122,12 +123,12 @@
         }
     }
 
-    /// How requests are treated under which endpoints ended; all others are treated alike.
+    /// The standings of requests that may have caused endpoint crashes; other requests have none.
     pub fn standings(&self) -> impl Iterator<Item = &RequestStanding> {
         self.standings.values()
     }
 
-    /// Records how requests are treated from now on.
+    /// Sets standings; a cleared one is removed.
     pub fn set_standings(&mut self, standings: Vec<RequestStanding>) -> Vec<Change> {
         let mut changes = Vec::new();
         for standing in standings {
@@ -141,7 +142,7 @@
         changes
     }
 
-    /// Takes a configuration in when its version is above the one in force.
+    /// Sets the routing configuration if its version is higher than the current one.
     pub fn put_routing(
         &mut self,
         configuration: Arc<RoutingConfiguration>,
@@ -154,9 +155,10 @@
         vec![Change::Routing(configuration)]
     }
 
-    /// Registers an endpoint, or takes over what it tells anew.
+    /// Registers an endpoint or updates its registration.
     ///
-    /// An earlier incarnation of the same name, or at the same address, has ended: each has one holder.
+    /// This ends an earlier incarnation of the same name and any other endpoint at the same
+    /// address: a name and an address each belong to one endpoint.
     pub fn register(&mut self, endpoint: RegisteredEndpoint) -> Vec<Change> {
         let known = self.endpoints.get(&endpoint.id);
         if known == Some(&endpoint) || self.has_departed(&endpoint.id) {
@@ -178,7 +180,8 @@
         changes
     }
 
-    /// True for an endpoint of a service that nobody configured, which would end one that serves.
+    /// True for an endpoint of an unconfigured service whose registration would end an endpoint of
+    /// a configured one.
     pub fn refuses(&self, endpoint: &RegisteredEndpoint) -> bool {
         if self.is_configured(&endpoint.service) {
             return false;
@@ -188,7 +191,7 @@
         ended.any(|other| self.is_configured(&other.service))
     }
 
-    /// Endpoints that end when `endpoint` registers.
+    /// Endpoints that end when `endpoint` is registered.
     fn replaced_by(&self, endpoint: &RegisteredEndpoint) -> Vec<RegisteredEndpoint> {
         let mut replaced = Vec::new();
         for other in self.endpoints.values() {
@@ -200,24 +203,24 @@
         replaced
     }
 
-    /// True when the configuration names the service, or there is none yet.
+    /// True if the configuration names the service, or there is no configuration yet.
     fn is_configured(&self, service: &str) -> bool {
         let Some(configuration) = self.routing() else { return true };
         configuration.services.iter().any(|spec| &*spec.name == service)
     }
 
-    /// Lets the gateway that ordered an endpoint at `before` order its next incarnation at `now`: another
-    /// one would have to wait until no order of the former counts, 4.3 s.
-    fn keep_holder(&mut self, before: SocketAddr, now: SocketAddr) {
-        if before == now {
+    /// Keeps the order holder of an endpoint that restarted at another address. A new holder would
+    /// have to wait 4.3 s until orders of the former one no longer count.
+    fn keep_holder(&mut self, before: SocketAddr, current: SocketAddr) {
+        if before == current {
             return;
         }
         if let Some(holder) = self.order_holders.get(&before).cloned() {
-            self.order_holders.insert(now, holder);
+            self.order_holders.insert(current, holder);
         }
     }
 
-    /// Ends the incarnation that `end` names, or the one that is registered.
+    /// Deregisters the incarnation that `end` names, or the registered one if it names none.
     pub fn end(&mut self, end: &EndpointEnd) -> Vec<Change> {
         if let Some(born_ms) = end.born_ms {
             return self.deregister(&RegisteredEndpoint::incarnation_id(&end.name, born_ms));
@@ -233,8 +236,8 @@
         if let Some(endpoint) = self.endpoints.get(name) {
             return Some(endpoint);
         }
-        // The ids of a name's incarnations begin alike: 12,000 endpoints that register are not looked
-        // through for each of them.
+        // All incarnation ids of a name share a prefix, so a range scan replaces a search of all
+        // 12,000 endpoints for each registration.
         let prefix: Arc<str> = format!("{name}@").into();
         let from = (Bound::Included(prefix.clone()), Bound::Unbounded);
         for (id, endpoint) in self.endpoints.range(from) {
@@ -248,12 +251,12 @@
         None
     }
 
-    /// Ends the incarnation `id`, whether it is known or not.
+    /// Records that the incarnation `id` has ended, and removes it if it is registered.
     pub fn deregister(&mut self, id: &Arc<str>) -> Vec<Change> {
         if !self.has_departed(id) {
-            self.departed.push_back(id.clone());
-            if self.departed.len() > DEPARTED_MAX {
-                self.departed.pop_front();
+            self.ended_ids.push_back(id.clone());
+            if self.ended_ids.len() > ENDED_IDS_MAX {
+                self.ended_ids.pop_front();
             }
         }
         self.copies.remove(id);
@@ -263,12 +266,12 @@
         vec![Change::Deregistered(id.clone())]
     }
 
-    /// Takes over a newer version.
+    /// Sets the newest version of weights if it is higher than the current one.
     pub fn put_version(&mut self, newest: NewestVersion) -> Vec<Change> {
         if newest.version <= self.version(&newest.name) {
             return Vec::new();
         }
-        // Copies of the version before save no load of this one.
+        // Copies of the replaced version save no load of the new one.
         for copies in self.copies.values_mut() {
             copies.retain(|name| *name != newest.name);
         }
@@ -276,7 +279,7 @@
         vec![Change::Version(newest)]
     }
 
-    /// Everything that a gateway follows, as if it had just been added.
+    /// The changes that build up all registry state that gateways follow.
     pub fn all_changes(&self) -> Vec<Change> {
         let mut changes = Vec::new();
         if let Some(configuration) = self.routing() {
--- a/src/control/replica/applying.rs
+++ b/src/control/replica/applying.rs
@@ -49,7 +49,7 @@
             (outcome, changes) = self.state.apply(index, Command::decode(&bytes)?);
         }
         self.applied = index;
-        self.terms.record_applied(term);
+        self.terms.applied(term);
         self.metrics.count(Counter::EntriesApplied);
         self.record_changes(index, changes);
         let Some((proposed_term, waiter)) = self.waiters.remove(&index) else { return Ok(()) };
--- a/src/control/replica/terms.rs
+++ b/src/control/replica/terms.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Terms {
     /// The term of the last applied entry.
-    latest_term: u64,
+    applied: u64,
     /// Number of terms whose first entry was applied since start times were last recorded.
     new_terms: u32,
     started_at_ms: Option<u64>,
@@ -16,9 +16,9 @@
 
 impl Terms {
     /// Records that an entry of `term` was applied.
-    pub(super) fn record_applied(&mut self, term: u64) {
-        if term > self.latest_term {
-            self.latest_term = term;
+    pub(super) fn applied(&mut self, term: u64) {
+        if term > self.applied {
+            self.applied = term;
             self.new_terms += 1;
         }
     }
--- a/src/control/server.rs
+++ b/src/control/server.rs
@@ -1,4 +1,4 @@
-//! The actor around a replica: it stores, sends and receives what the replica decides.
+//! The actor of a replica: stores and sends what the replica decides, and passes it all messages.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -25,20 +25,20 @@
 use crate::traffic;
 use crate::wire::{Channel, Peer, Receiver, Sender};
 
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 const LINK_QUEUE: usize = 4_096;
 const LINK_RETRY: Duration = Duration::from_millis(50);
 const LINK_SEND_TIMEOUT: Duration = Duration::from_secs(2);
-/// How often a full disk is tried again.
+/// Pause before a write to a full disk is retried.
 const DISK_FULL_PAUSE: Duration = Duration::from_millis(200);
 
-/// What the actor is told.
+/// The messages of the actor.
 pub enum ReplicaMessage {
     /// A message of another replica.
     Peer(PeerMessage),
-    /// Time has passed.
+    /// Advance the timers.
     Tick,
-    /// Store, send and apply what has come together.
+    /// Store, send and apply the collected output.
     Flush,
     /// A single call.
     Call(ControlRequest, RpcReplyPort<ControlReply>),
@@ -56,21 +56,21 @@
     Stop(RpcReplyPort<()>),
 }
 
-/// What the actor starts with.
+/// The arguments of the actor.
 pub struct ReplicaArguments {
     /// The replica.
     pub replica: Replica,
-    /// Its files.
+    /// Its storage.
     pub storage: Box<dyn Storage>,
-    /// Where its peers reach it.
+    /// The address for peers.
     pub address: SocketAddr,
     /// The process's clock.
     pub clock: Clock,
-    /// Metrics.
+    /// The metrics.
     pub metrics: Metrics,
-    /// Set while this replica leads.
+    /// True while this replica leads.
     pub leads: Arc<AtomicBool>,
-    /// Tells who leads, as far as this replica knows.
+    /// Publishes the leader's address, as far as this replica knows.
     pub leader: watch::Sender<Option<SocketAddr>>,
 }
 
@@ -85,7 +85,7 @@
     leader: watch::Sender<Option<SocketAddr>>,
     links: HashMap<NodeId, (SocketAddr, mpsc::Sender<PeerMessage>)>,
     addresses: HashMap<NodeId, SocketAddr>,
-    flush_due: bool,
+    flush_scheduled: bool,
 }
 
 /// The actor.
@@ -101,7 +101,7 @@
         myself: ActorRef<Self::Msg>,
         arguments: Self::Arguments,
     ) -> std::result::Result<Self::State, ActorProcessingErr> {
-        myself.send_interval(TICK, || ReplicaMessage::Tick);
+        myself.send_interval(TICK_INTERVAL, || ReplicaMessage::Tick);
         Ok(ReplicaState {
             replica: arguments.replica,
             storage: Some(arguments.storage),
@@ -112,7 +112,7 @@
             leader: arguments.leader,
             links: HashMap::new(),
             addresses: HashMap::new(),
-            flush_due: false,
+            flush_scheduled: false,
         })
     }
 
@@ -125,9 +125,10 @@
         let now_ms = state.clock.now_ms();
         match message {
             ReplicaMessage::Flush => {
-                state.flush_due = false;
+                state.flush_scheduled = false;
                 if let Err(error) = state.flush().await {
-                    // What the disk holds is not known any more, so nothing may be promised.
+                    // The content of the disk is unknown now, so nothing may be acknowledged any
+                    // more.
                     error!(event = "storage_failed", error = %error);
                     logging::finish();
                     std::process::exit(i32::from(EXIT_STORAGE));
@@ -166,9 +167,9 @@
                 state.replica.note_load_reports(load_reports);
             }
         }
-        // One flush serves every message that is queued before it: one sync for many.
-        if !state.flush_due {
-            state.flush_due = true;
+        // One flush serves all messages queued before it, so that many share one sync.
+        if !state.flush_scheduled {
+            state.flush_scheduled = true;
             myself.cast(ReplicaMessage::Flush)?;
         }
         Ok(())
@@ -191,7 +192,7 @@
             self.send_snapshots(&output)?;
             self.replica.check_leadership(self.clock.now_ms(), wall_ms());
             self.leads.store(self.replica.is_leading(), Ordering::Relaxed);
-            self.tell_leader();
+            self.publish_leader();
             if idle {
                 break;
             }
@@ -199,7 +200,7 @@
         self.compact().await
     }
 
-    fn tell_leader(&mut self) {
+    fn publish_leader(&mut self) {
         let leader = self.replica.leader_address();
         self.leader.send_if_modified(|known| std::mem::replace(known, leader) != leader);
     }
@@ -212,7 +213,7 @@
             info!(event = "snapshot_installed", index = snapshot.index);
             self.replica.install(&snapshot)?;
             self.save_snapshot(snapshot).await?;
-            // The new log file holds everything that this output would have stored.
+            // The new log file already holds all of this output.
             self.replica.raft.mark_persisted(self.replica.raft.last_index());
             return Ok(());
         }
@@ -247,16 +248,16 @@
             .await
     }
 
-    /// Waits while the disk is full: nothing that has to be stored is promised meanwhile, and the
-    /// other replicas go on without this one.
+    /// Retries while the disk is full. Nothing that has to be stored is acknowledged meanwhile, and
+    /// the other replicas go on without this one.
     async fn retry_while_full(
         &mut self,
         work: impl Fn(&mut dyn Storage) -> Result<()> + Clone + Send + 'static,
     ) -> Result<()> {
         let mut was_full = false;
-        let stalls_at_ms = self.clock.now_ms() + self.replica.raft.election_ms();
+        let stall_deadline_ms = self.clock.now_ms() + self.replica.raft.election_ms();
         loop {
-            match self.with_storage(stalls_at_ms, work.clone()).await {
+            match self.with_storage(stall_deadline_ms, work.clone()).await {
                 Err(error) if error.is_disk_full() => {
                     if !was_full {
                         error!(event = "disk_full", error = %error);
@@ -285,7 +286,7 @@
 
     async fn with_storage(
         &mut self,
-        stalls_at_ms: u64,
+        stall_deadline_ms: u64,
         work: impl FnOnce(&mut dyn Storage) -> Result<()> + Send + 'static,
     ) -> Result<()> {
         let mut storage = self.storage.take().expect("the storage is only away during a call");
@@ -293,11 +294,11 @@
             let result = work(&mut *storage);
             (storage, result)
         });
-        let in_time = self.clock.timeout_at(stalls_at_ms, &mut done).await;
+        let in_time = self.clock.timeout_at(stall_deadline_ms, &mut done).await;
         let done = if let Some(done) = in_time {
             done
         } else {
-            self.note_stalled();
+            self.withdraw_leadership();
             done.await
         };
         let (storage, result) = done.map_err(|error| Error::failed("store", "log", error))?;
@@ -305,9 +306,10 @@
         result
     }
 
-    /// Tells nobody any more that this replica leads. It does nothing while its disk stalls, and others
-    /// elect a leader meanwhile: callers waited 0.9 s each for nothing, they are told at once.
-    fn note_stalled(&mut self) {
+    /// Stops announcing this replica as the leader. It does nothing while its disk stalls, and
+    /// others elect a leader meanwhile: callers each waited 0.9 s in vain, and are now answered at
+    /// once.
+    fn withdraw_leadership(&mut self) {
         if self.leads.swap(false, Ordering::Relaxed) {
             warn!(event = "lead_doubted", reason = "the disk stalls");
             self.leader.send_replace(None);
@@ -335,7 +337,7 @@
                 Some((known, link)) if *known == address && !link.is_closed() => link.clone(),
                 _ => self.open_link(to, address),
             };
-            // A full queue drops the message, as a network would; the protocol sends it again.
+            // A full queue drops the message as a network would; Raft sends it again.
             let _ = link.try_send(PeerMessage { address: self.address, envelope });
         }
     }
--- a/src/control/serving.rs
+++ b/src/control/serving.rs
@@ -1,4 +1,4 @@
-//! Serving the streams that peers and gateways open at a replica.
+//! Serves the streams that peers, gateways and other callers open at a replica.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -23,34 +23,35 @@
 const SESSION_QUEUE: usize = 512;
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How far the process has started.
+/// Startup stage of the process.
 pub enum Stage {
-    /// No identity is written.
+    /// No identity is stored.
     Empty,
-    /// A founding identity is written.
+    /// The identity of a founder is stored.
     Founding,
-    /// The replica runs.
+    /// The replica is running.
     Running(Running),
 }
 
-/// A replica that runs, with what serves the gateways of its availability zone.
+/// A running replica and the distributor for gateways of its availability zone.
 #[derive(Clone)]
 pub struct Running {
     /// The replica.
     pub replica: ActorRef<ReplicaMessage>,
-    /// What passes on what the leader says, while another replica leads.
+    /// Forwards the leader's messages to gateways while another replica leads.
     pub distributor: DistributorHandle,
-    /// Set while this replica leads.
+    /// True while this replica leads.
     pub leads: Arc<AtomicBool>,
-    /// Who leads, as far as this replica knows.
+    /// The leader's address, as far as this replica knows.
     pub leader: watch::Receiver<Option<SocketAddr>>,
 }
 
 impl Running {
-    /// Asks the replica, or answers for it while it does not lead: one whose disk stalls does nothing
-    /// until the write is done, and callers waited for it as long as they could.
+    /// Sends a call to the replica while it leads; otherwise answers with the leader's address. A
+    /// replica whose disk stalls does nothing until the write completes, and callers waited for it
+    /// until they timed out.
     pub async fn call(&self, request: ControlRequest, within: Duration) -> ControlReply {
-        // Whether a replica is there at all is for itself to say.
+        // A probe asks for this replica's own state.
         let is_for_leader = !matches!(request, ControlRequest::Probe);
         if is_for_leader && !self.leads.load(Ordering::Relaxed) {
             return ControlReply::NotLeader { leader: *self.leader.borrow() };
@@ -66,17 +67,17 @@
                 Ok(Ok(reply)) => reply,
                 Ok(Err(_)) | Err(_) => ControlReply::Lost,
             },
-            () = self.lead_lost(), if is_for_leader => ControlReply::Lost,
+            () = self.leadership_lost(), if is_for_leader => ControlReply::Lost,
         }
     }
 
-    /// Returns once this replica does not count as the leader any more.
-    async fn lead_lost(&self) {
+    /// Returns once this replica is no longer known as the leader.
+    async fn leadership_lost(&self) {
         let mut leader = self.leader.clone();
         while self.leads.load(Ordering::Relaxed) && leader.changed().await.is_ok() {}
     }
 
-    /// What serves sessions of `role` now.
+    /// The actor that serves sessions of `role` now.
     fn host(&self, role: SessionRole) -> SessionHost {
         let is_for_leader = role != SessionRole::Follower || self.leads.load(Ordering::Relaxed);
         if is_for_leader {
@@ -86,14 +87,14 @@
     }
 }
 
-/// What serves a session.
+/// The actor that serves a session.
 enum SessionHost {
     Replica(ActorRef<ReplicaMessage>),
     Distributor(DistributorHandle),
 }
 
 impl SessionHost {
-    /// Opens a session; false when the process is about to end.
+    /// Opens a session; returns false if the process is stopping.
     fn open(&self, id: u64, hello: SessionHello, down: mpsc::Sender<SessionDown>) -> bool {
         match self {
             Self::Replica(actor) => actor.cast(ReplicaMessage::Open(id, hello, down)).is_ok(),
@@ -101,7 +102,7 @@
         }
     }
 
-    fn up(&self, id: u64, up: SessionUp) -> bool {
+    fn send_up(&self, id: u64, up: SessionUp) -> bool {
         match self {
             Self::Replica(actor) => actor.cast(ReplicaMessage::Up(id, up)).is_ok(),
             Self::Distributor(distributor) => distributor.up(id, up),
@@ -111,7 +112,7 @@
     fn close(&self, id: u64) {
         match self {
             Self::Replica(actor) => {
-                // An actor that has ended has no sessions either.
+                // A stopped actor has no sessions left to close.
                 let _ = actor.cast(ReplicaMessage::Close(id));
             }
             Self::Distributor(distributor) => distributor.close(id),
@@ -119,14 +120,14 @@
     }
 }
 
-/// Serves the streams that peers and gateways open.
+/// Dispatches incoming streams by channel.
 pub struct ControlHandler {
     stage: Arc<RwLock<Stage>>,
     sessions: Arc<AtomicU64>,
 }
 
 impl ControlHandler {
-    /// A handler that follows `stage`.
+    /// Creates a handler for the replica in `stage`.
     pub fn new(stage: Arc<RwLock<Stage>>) -> Self {
         Self { stage, sessions: Arc::default() }
     }
@@ -200,19 +201,19 @@
     if !host.open(session, hello, down) {
         return Ok(());
     }
-    let result = pass_session(&mut receiver, &host, session, &writer).await;
+    let result = forward_session(&mut receiver, &host, session, &writer).await;
     host.close(session);
     result
 }
 
-async fn pass_session(
+async fn forward_session(
     receiver: &mut Receiver<SessionUp>,
     host: &SessionHost,
     session: u64,
     writer: &tokio::task::JoinHandle<()>,
 ) -> Result<()> {
     while let Some(up) = receiver.next().await? {
-        if writer.is_finished() || !host.up(session, up) {
+        if writer.is_finished() || !host.send_up(session, up) {
             return Ok(());
         }
     }
--- a/src/control/session.rs
+++ b/src/control/session.rs
@@ -1,4 +1,5 @@
-//! The leader's sessions with gateways: leases, changes and summaries that they follow.
+//! Sessions with gateways and distributors: their state, and the changes, load reports and
+//! summaries sent to them.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
@@ -13,40 +14,41 @@
 
 const MAX_KEPT_CHANGES: usize = 20_000;
 const CHANGES_PER_MESSAGE: usize = 1_000;
-/// A gateway whose last renewal is older than this gets no orders: two renewals are missing, and its
-/// own lease is about to end.
-const SILENT_MS: u64 = 750;
+/// Age of a gateway's last renewal from which it gets no orders: two renewals are missing, and its
+/// lease is about to end.
+const MAX_RENEWAL_AGE_MS: u64 = 750;
 
-/// A distributor says something eight times in this time; after so long a silence, what comes was held
-/// up by a link. Heartbeats that are older than this would be taken for news.
-const HELD_UP_MS: u64 = 1_200;
+/// Silence of a distributor from which its messages count as delayed by the link: it sends eight
+/// messages in this time, and heartbeats that it forwarded earlier must not be taken for current
+/// ones.
+const MAX_DISTRIBUTOR_SILENCE_MS: u64 = 1_200;
 
-/// The changes of recent entries, for followers that are not far behind.
+/// The changes of recent entries, for followers that are only a little behind.
 #[derive(Debug, Default)]
 pub struct RecentChanges {
     floor: u64,
-    kept: usize,
+    change_count: usize,
     entries: VecDeque<(u64, Arc<[Change]>)>,
 }
 
 impl RecentChanges {
-    /// Nothing kept; followers behind `floor` need everything.
+    /// Creates an empty history; followers behind `floor` need the whole state.
     pub fn new(floor: u64) -> Self {
         Self { floor, ..Self::default() }
     }
 
     /// Adds the changes of the entry at `index`.
     pub fn push(&mut self, index: u64, changes: Arc<[Change]>) {
-        self.kept += changes.len();
+        self.change_count += changes.len();
         self.entries.push_back((index, changes));
-        while self.kept > MAX_KEPT_CHANGES {
+        while self.change_count > MAX_KEPT_CHANGES {
             let Some((index, changes)) = self.entries.pop_front() else { return };
-            self.kept -= changes.len();
+            self.change_count -= changes.len();
             self.floor = index;
         }
     }
 
-    /// The changes after `index`, or nothing when some of them are no longer kept.
+    /// The changes after `index`, or `None` if some of them are no longer kept.
     pub fn since(&self, index: u64) -> Option<Vec<Change>> {
         if index < self.floor {
             return None;
@@ -61,29 +63,30 @@
     }
 }
 
-/// One gateway's session.
+/// A session with a gateway or a distributor.
 #[derive(Debug)]
 pub struct Session {
-    /// Who the gateway is.
+    /// The first message, which names the gateway.
     pub hello: SessionHello,
-    /// The epoch of its registration, once it is registered.
+    /// The epoch of its registration, once registered; 0 for followers and distributors.
     pub epoch: Option<u64>,
     down: mpsc::Sender<SessionDown>,
     summaries_seen: u64,
     reports_sent: HashMap<Arc<str>, u32>,
     /// When its last renewal was confirmed.
     pub renewed_at_ms: Option<u64>,
-    /// The gateways behind a distributor, by when the last renewal of each was confirmed.
+    /// The gateways of a distributor, with the time at which the last renewal of each was
+    /// confirmed.
     members: BTreeMap<Arc<str>, u64>,
     heard_at_ms: u64,
-    /// What it has under way, by endpoint.
+    /// The load that it reports, by endpoint.
     pub loads: HashMap<Arc<str>, Load>,
-    /// What it was told last of the other gateways' loads, by endpoint.
+    /// The load of all other gateways that it was last sent, by endpoint.
     pub loads_sent: HashMap<Arc<str>, Load>,
 }
 
 impl Session {
-    /// A session that sends to `down`.
+    /// Creates a session that sends to `down`.
     pub fn new(now_ms: u64, hello: SessionHello, down: mpsc::Sender<SessionDown>) -> Self {
         Self {
             heard_at_ms: now_ms,
@@ -99,22 +102,24 @@
         }
     }
 
-    /// Notes that a message came; false when it was held up on the way, with all that comes after it.
+    /// Records the arrival of a message; returns false if it and those after it were delayed on the
+    /// way.
     ///
-    /// A distributor is never silent, and what it tells of endpoints is wrong when it is old.
+    /// Only distributors are checked: they are never silent for long, and their reports on
+    /// endpoints are wrong when old.
     pub fn record_message(&mut self, now_ms: u64) -> bool {
         let is_silent = self.is_silent(now_ms);
         self.heard_at_ms = now_ms;
         !is_silent
     }
 
-    /// True for a distributor that said nothing for too long.
+    /// True for a distributor that has been silent for too long.
     pub fn is_silent(&self, now_ms: u64) -> bool {
         let silent_ms = now_ms.saturating_sub(self.heard_at_ms);
-        self.hello.role == SessionRole::Distributor && silent_ms >= HELD_UP_MS
+        self.hello.role == SessionRole::Distributor && silent_ms >= MAX_DISTRIBUTOR_SILENCE_MS
     }
 
-    /// Notes that the renewals of `gateways`, which a distributor sent, were confirmed.
+    /// Records that the renewals of a distributor's `gateways` were confirmed.
     pub fn record_renewals(&mut self, now_ms: u64, gateways: Vec<Arc<str>>) {
         for gateway in gateways {
             self.members.insert(gateway, now_ms);
@@ -122,7 +127,7 @@
         self.members.retain(|_, renewed_at_ms| is_fresh(*renewed_at_ms, now_ms));
     }
 
-    /// True when the gateway behind it is `gateway`, which follows and can give orders now.
+    /// True if the session leads to `gateway` and that gateway can send orders to engines now.
     pub fn can_reach(&self, now_ms: u64, gateway: &str) -> bool {
         match self.hello.role {
             SessionRole::Owner => false,
@@ -134,7 +139,7 @@
         }
     }
 
-    /// The gateways behind it that follow and can give orders to engines now.
+    /// The gateways that the session leads to and that can send orders to engines now.
     pub fn gateways(&self, now_ms: u64) -> Vec<Arc<str>> {
         let mut gateways = Vec::new();
         match self.hello.role {
@@ -155,7 +160,7 @@
         gateways
     }
 
-    /// How many gateways it stands for.
+    /// The number of gateways that the session leads to.
     pub fn gateway_count(&self) -> usize {
         match self.hello.role {
             SessionRole::Owner | SessionRole::Follower => 1,
@@ -167,12 +172,13 @@
         self.renewed_at_ms.is_some_and(|renewed_at_ms| is_fresh(renewed_at_ms, now_ms))
     }
 
-    /// Sends without waiting; false when the gateway does not keep up or has gone.
+    /// Sends without waiting; returns false if the receiver does not keep up or has gone.
     pub fn send(&self, message: SessionDown) -> bool {
         self.down.try_send(message).is_ok()
     }
 
-    /// Registers the gateway under `epoch` and brings it up to `index`.
+    /// Sets the epoch and sends the changes up to `index`, or the whole state if some are no longer
+    /// kept.
     pub fn welcome(
         &mut self,
         epoch: u64,
@@ -192,7 +198,7 @@
         self.send_changes(index, true, &state.all_changes())
     }
 
-    /// Sends changes that lead up to `index`, in as many messages as they need.
+    /// Sends the changes up to `index` in as many messages as they need.
     pub fn send_changes(&self, index: u64, reset: bool, changes: &[Change]) -> bool {
         let chunks: Vec<&[Change]> = if changes.is_empty() {
             vec![&[]]
@@ -214,7 +220,7 @@
         true
     }
 
-    /// The reports on the gateway's own endpoints that differ from those sent last.
+    /// The load reports on the gateway's own endpoints that differ from those sent last.
     pub fn changed_reports(
         &mut self,
         reports: &HashMap<Arc<str>, u32>,
@@ -233,8 +239,8 @@
         unseen
     }
 
-    /// Tells what all others have under way, for each endpoint where that changed enough to change a
-    /// choice.
+    /// Sends the load of all other gateways at each endpoint where it changed enough to affect
+    /// routing.
     pub fn send_loads(&mut self, totals: &BTreeMap<Arc<str>, Load>) {
         let mut changed = Vec::new();
         for (endpoint, total) in totals {
@@ -252,26 +258,26 @@
         }
     }
 
-    /// Sends the changes of one entry.
+    /// Sends the changes up to `index` if the gateway is registered.
     pub fn follow(&self, index: u64, changes: &[Change]) -> bool {
         self.epoch.is_none() || self.send_changes(index, false, changes)
     }
 }
 
 fn is_fresh(renewed_at_ms: u64, now_ms: u64) -> bool {
-    renewed_at_ms + SILENT_MS > now_ms
+    renewed_at_ms + MAX_RENEWAL_AGE_MS > now_ms
 }
 
-/// The latest summary of every endpoint, and which of them each session has seen.
+/// The latest summary of every endpoint, numbered so that each session is sent only new ones.
 #[derive(Debug, Default)]
 pub struct Summaries {
     version: u64,
-    by_endpoint: BTreeMap<Arc<str>, Known>,
+    by_endpoint: BTreeMap<Arc<str>, StoredSummary>,
     by_version: BTreeMap<u64, Arc<str>>,
 }
 
 #[derive(Debug)]
-struct Known {
+struct StoredSummary {
     version: u64,
     summary: Summary,
 }
@@ -282,7 +288,7 @@
         Self::default()
     }
 
-    /// Takes a summary in; one without adapters keeps those known for the same epoch.
+    /// Stores a newer summary; one without adapters keeps those known for the same epoch.
     pub fn put(&mut self, mut summary: Summary) {
         let endpoint = summary.endpoint.clone();
         if let Some(known) = self.by_endpoint.get(&endpoint) {
@@ -299,17 +305,17 @@
         }
         self.version += 1;
         self.by_version.insert(self.version, endpoint.clone());
-        self.by_endpoint.insert(endpoint, Known { version: self.version, summary });
+        self.by_endpoint.insert(endpoint, StoredSummary { version: self.version, summary });
     }
 
-    /// Drops the summary of an endpoint that is gone.
+    /// Removes the summary of an endpoint.
     pub fn remove(&mut self, endpoint: &str) {
         if let Some(known) = self.by_endpoint.remove(endpoint) {
             self.by_version.remove(&known.version);
         }
     }
 
-    /// The summaries that `session` has not seen and that are not of its own endpoints.
+    /// The summaries new to `session`, except those of its own endpoints.
     pub fn unseen(&self, session: &mut Session, state: &State) -> Vec<Summary> {
         let mut unseen = Vec::new();
         for endpoint in self.by_version.range(session.summaries_seen + 1..).map(|(_, name)| name) {
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -1,4 +1,4 @@
-//! The replicated state machine: configuration, run ledger, gateways and endpoints.
+//! The replicated state machine: configuration, run ledger, gateways, endpoints and routing.
 
 use std::sync::Arc;
 
@@ -18,39 +18,39 @@
 };
 use crate::routing::RoutingConfiguration;
 
-/// One entry's command.
+/// The command of a log entry.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Command {
-    /// The leader's wall clock when it proposed this; the state's time never goes back.
+    /// The leader's wall clock at the proposal; the time of the state never goes back.
     pub now_ms: u64,
-    /// What is to be done.
+    /// The operation.
     pub operation: Operation,
 }
 
 /// The operations of the state machine.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Operation {
-    /// Sets bounds that every replica has to share.
+    /// Sets the limits of the run ledger, which all replicas must share.
     SetLimits(LedgerLimits),
-    /// Takes declarations in.
+    /// Applies declarations.
     Apply {
         /// The declarations.
         documents: Vec<Document>,
     },
-    /// Claims a call.
+    /// Claims the execution of a call.
     Claim(Claim),
-    /// Records what became of a claim.
+    /// Records the outcome of a claim.
     Settle {
         /// The key.
         key: KeyDigest,
         /// The claim's id.
         claim_id: u128,
-        /// What became of it.
+        /// The outcome.
         settlement: Settlement,
     },
     /// Registers a gateway.
     Register(Registration),
-    /// Ends the registration of a gateway whose lease ran out.
+    /// Ends the registration of a gateway whose lease has expired.
     Expire {
         /// The gateway.
         gateway: Arc<str>,
@@ -64,45 +64,45 @@
         /// The epoch of its registration.
         epoch: u64,
     },
-    /// Passes an endpoint to its successor.
+    /// Hands an endpoint over to its successor.
     Release {
         /// The endpoint.
         endpoint: Arc<str>,
         /// The epoch under which it was owned.
         epoch: u64,
     },
-    /// Takes over what changed in the platform's list.
+    /// Applies changes in the platform's list.
     List {
         /// Endpoints that are new or changed.
         listed: Vec<ListedEndpoint>,
         /// Endpoints that are gone.
         removed: Vec<Arc<str>>,
     },
-    /// Takes a whole routing configuration in.
+    /// Replaces the routing configuration.
     PutRouting {
         /// The configuration.
         configuration: Arc<RoutingConfiguration>,
         /// The operator's own document.
         document: Arc<str>,
     },
-    /// Registers an endpoint, or takes over what it tells anew.
+    /// Registers an endpoint or updates its registration.
     RegisterEndpoint(RegisteredEndpoint),
     /// Ends an endpoint's incarnation.
     DeregisterEndpoint(EndpointEnd),
-    /// Names the newest version of weights.
+    /// Sets the newest version of weights.
     PutVersion(NewestVersion),
-    /// Records which gateways give endpoints their orders from now on.
+    /// Records which gateways send orders to endpoints from now on.
     ChooseHolders(Vec<HolderChoice>),
     /// Records which endpoints got copies of weights.
     NoteCopies(Vec<NewCopy>),
-    /// Records how requests are treated under which endpoints ended.
+    /// Sets the standings of requests that may have caused endpoint crashes.
     SetStandings(Vec<RequestStanding>),
 }
 
-/// What an operation came to.
+/// The outcome of an operation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
-    /// Done, with nothing to tell.
+    /// Done, without a result.
     Done,
     /// The verdicts on declarations.
     Applied(ApplyReply),
@@ -110,11 +110,11 @@
     Claimed(ClaimOutcome),
     /// The epoch of a registration.
     Registered(u64),
-    /// Taken in, or known before.
+    /// Accepted, or known before.
     Accepted,
 }
 
-/// Everything that is replicated.
+/// The replicated state.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct State {
     clock_ms: u64,
@@ -164,7 +164,7 @@
             Operation::Expire { gateway, epoch } => {
                 let changes = self.fleet.expire(index, &gateway, epoch);
                 if !changes.is_empty() {
-                    self.ledger.abandon(self.clock_ms, &gateway, epoch);
+                    self.ledger.abandon_claims(self.clock_ms, &gateway, epoch);
                 }
                 (Outcome::Done, changes)
             }
@@ -207,12 +207,12 @@
         if let Some(earlier) = earlier_epoch
             && earlier < epoch
         {
-            self.ledger.abandon(self.clock_ms, &name, earlier);
+            self.ledger.abandon_claims(self.clock_ms, &name, earlier);
         }
         (Outcome::Registered(epoch), changes)
     }
 
-    /// Everything a gateway follows, as if it had just been added.
+    /// The changes that build up all state that gateways follow.
     pub fn all_changes(&self) -> Vec<Change> {
         let mut changes = Vec::new();
         for gateway in self.fleet.gateways().values() {
@@ -235,7 +235,7 @@
             .into()
     }
 
-    /// Reads an encoded state.
+    /// Decodes a state.
     ///
     /// # Errors
     /// Bytes that are not an encoded state.
@@ -243,7 +243,8 @@
         let damaged = |error| Error::damaged("decode", "snapshot", error);
         match binary::decode(bytes) {
             Ok(state) => Ok(state),
-            // A snapshot without standings, which come last: none stand as one zero.
+            // Older snapshots end without standings, the last field; appending a zero byte decodes
+            // them as none.
             Err(error) => binary::decode(&[bytes, &[0]].concat()).map_err(|_| damaged(error)),
         }
     }
@@ -257,7 +258,7 @@
             .into()
     }
 
-    /// Reads an encoded command.
+    /// Decodes a command.
     ///
     /// # Errors
     /// Bytes that are not an encoded command.
--- a/src/control/storage.rs
+++ b/src/control/storage.rs
@@ -1,9 +1,9 @@
-//! The replica's files: identity, snapshot and log.
+//! The stored files of a replica: identity, snapshot and log.
 //!
-//! The log is one file of checksummed records that is only ever appended to. A snapshot starts a
-//! new file; the old one is removed once the new one is synced. A record that is cut off at the end
-//! of the file was never acknowledged and is dropped; a damaged record with readable ones behind it
-//! is refused, since the replica may have acknowledged what it held.
+//! The log is a single append-only file of checksummed records. A snapshot starts a new file, and
+//! the old one is removed once the new one is synced. A record that is cut off at the end of the
+//! file was never acknowledged and is dropped. A damaged record before readable ones is an error,
+//! since the replica may have acknowledged it.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Write};
@@ -23,45 +23,46 @@
 const SNAPSHOT_FILE: &str = "snapshot";
 const LOG_PREFIX: &str = "log-";
 
-/// Who this replica is.
+/// The identity of a replica.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// The identity, which is lost with the folder.
+    /// The id, which is lost with the folder.
     pub id: NodeId,
-    /// The members of the group as it was founded; empty for one that joined later.
+    /// The members of the group at its founding; empty for a replica that joined later.
     pub founders: Members,
-    /// True once the replica may have voted: from then on a missing log is a lost one.
+    /// True once the replica may have voted; a missing log is then an error.
     pub started: bool,
 }
 
 /// One record of the log file.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 enum Record {
-    Hard(HardState),
+    HardState(HardState),
     Truncate { from: u64 },
     Entry(Entry),
 }
 
-/// What has to reach the disk together.
+/// Changes of the log to store together.
 #[derive(Debug, Default)]
 pub struct Batch {
     /// Term and vote, if changed.
     pub hard_state: Option<HardState>,
-    /// Entries from this index on are void.
+    /// Stored entries from this index on are to be removed.
     pub truncate_from: Option<u64>,
     /// Entries to append.
     pub append: Vec<Entry>,
 }
 
-/// Where a replica keeps what must survive.
+/// Durable storage of a replica.
 pub trait Storage: Send + 'static {
     /// Stores and syncs `batch`.
     ///
     /// # Errors
-    /// Any failure to write or sync. The replica must stop then: what the disk holds is unknown.
+    /// Any failure to write or sync. The content of the disk is unknown then, and the replica must
+    /// stop.
     fn save(&mut self, batch: &Batch) -> Result<()>;
 
-    /// Stores `snapshot` and starts a log that holds `hard_state` and `entries`.
+    /// Stores `snapshot` and starts a new log with `hard_state` and `entries`.
     ///
     /// # Errors
     /// Any failure to write or sync; see [`save`](Self::save).
@@ -79,7 +80,7 @@
     fn load_snapshot(&self) -> Result<Option<Snapshot>>;
 }
 
-/// Files below one folder.
+/// Storage in files of one folder.
 #[derive(Debug)]
 pub struct FileStorage {
     folder: PathBuf,
@@ -90,18 +91,18 @@
     buffer: Vec<u8>,
 }
 
-/// What a data folder held.
+/// An opened data folder and its content.
 #[derive(Debug)]
 pub struct Opened {
-    /// The open files.
+    /// The storage for further writes.
     pub storage: FileStorage,
-    /// What the log and the snapshot held.
+    /// The state recovered from log and snapshot.
     pub recovered: Recovered,
-    /// The state of the snapshot.
+    /// The snapshot.
     pub snapshot: Option<Snapshot>,
-    /// Bytes of a record that was cut off at the end of the log and dropped.
+    /// Bytes of an incomplete record at the end of the log, which were dropped.
     pub dropped_bytes: u64,
-    /// True when the log holds no record at all.
+    /// True if the log holds no record.
     pub is_blank: bool,
 }
 
@@ -109,7 +110,7 @@
     /// Opens the files below `folder`, which must exist.
     ///
     /// # Errors
-    /// A file that cannot be read or written, and one that is damaged in the middle.
+    /// A file that cannot be read or written, or that is damaged before its end.
     pub fn open(folder: &Path) -> Result<Opened> {
         let snapshot = read_snapshot(folder)?;
         let mut recovered = Recovered::default();
@@ -144,7 +145,7 @@
     /// # Errors
     /// A file that cannot be read or fails its checksum.
     pub fn read_identity(folder: &Path) -> Result<Option<Identity>> {
-        read_whole(&folder.join(IDENTITY_FILE))
+        read_file(&folder.join(IDENTITY_FILE))
     }
 
     /// Writes the identity and syncs it.
@@ -152,11 +153,11 @@
     /// # Errors
     /// Any failure to write or sync.
     pub fn write_identity(folder: &Path, identity: &Identity) -> Result<()> {
-        write_whole(folder, IDENTITY_FILE, identity)
+        write_file(folder, IDENTITY_FILE, identity)
     }
 
-    /// Appends the buffer. When the disk takes only a part of it, that part is cut off again, so
-    /// that the same batch can be saved later.
+    /// Appends the buffer to the log and syncs it. If only a part is written, that part is cut off
+    /// again, so that the same batch can be saved later.
     fn write_buffer(&mut self) -> Result<()> {
         let path = &self.log_path;
         if let Err(error) = self.log.write_all(&self.buffer) {
@@ -172,8 +173,8 @@
 impl Storage for FileStorage {
     fn save(&mut self, batch: &Batch) -> Result<()> {
         self.buffer.clear();
-        if let Some(hard) = batch.hard_state {
-            encode_record(&Record::Hard(hard), &mut self.buffer)?;
+        if let Some(hard_state) = batch.hard_state {
+            encode_record(&Record::HardState(hard_state), &mut self.buffer)?;
         }
         if let Some(from) = batch.truncate_from {
             encode_record(&Record::Truncate { from }, &mut self.buffer)?;
@@ -190,13 +191,13 @@
         hard_state: HardState,
         entries: &[Entry],
     ) -> Result<()> {
-        // The snapshot comes first: a crash between the two files leaves the old log, which reads
-        // well on top of a newer snapshot.
-        write_whole(&self.folder, SNAPSHOT_FILE, snapshot)?;
+        // The snapshot is written first: after a crash between the two writes, the old log is still
+        // valid on top of the newer snapshot.
+        write_file(&self.folder, SNAPSHOT_FILE, snapshot)?;
         let new_path = log_path(&self.folder, self.generation + 1);
         let temporary = self.folder.join("log.tmp");
         let mut buffer = Vec::new();
-        encode_record(&Record::Hard(hard_state), &mut buffer)?;
+        encode_record(&Record::HardState(hard_state), &mut buffer)?;
         for entry in entries {
             encode_record(&Record::Entry(entry.clone()), &mut buffer)?;
         }
@@ -220,7 +221,7 @@
 }
 
 fn read_snapshot(folder: &Path) -> Result<Option<Snapshot>> {
-    read_whole(&folder.join(SNAPSHOT_FILE))
+    read_file(&folder.join(SNAPSHOT_FILE))
 }
 
 fn log_path(folder: &Path, generation: u64) -> PathBuf {
@@ -266,27 +267,27 @@
     Ok(0)
 }
 
-/// Puts the records of a log on top of a snapshot.
+/// Applies the records of a log on top of a snapshot.
 struct LogReader<'a> {
     recovered: &'a mut Recovered,
     base: u64,
-    base_term: u64,
-    /// True when the log disagrees with the snapshot: an installed snapshot replaced it, and the
-    /// replica stopped before the new log was in place.
+    snapshot_term: u64,
+    /// True if the log conflicts with the snapshot: the snapshot was received from a leader, and
+    /// the replica stopped before its new log was in place.
     replaced: bool,
 }
 
 impl<'a> LogReader<'a> {
     fn new(recovered: &'a mut Recovered) -> Self {
-        let (base, base_term) =
+        let (base, snapshot_term) =
             recovered.snapshot.as_ref().map_or((0, 0), |(index, term, _)| (*index, *term));
-        Self { recovered, base, base_term, replaced: false }
+        Self { recovered, base, snapshot_term, replaced: false }
     }
 
     fn take(&mut self, record: Record, path: &Path) -> Result<()> {
         let entry = match record {
-            Record::Hard(hard) => {
-                self.recovered.hard_state = hard;
+            Record::HardState(hard_state) => {
+                self.recovered.hard_state = hard_state;
                 return Ok(());
             }
             Record::Truncate { from } => {
@@ -296,14 +297,14 @@
             Record::Entry(entry) => entry,
         };
         if entry.index == self.base {
-            self.replaced = entry.term != self.base_term;
+            self.replaced = entry.term != self.snapshot_term;
         }
         if entry.index <= self.base || self.replaced {
             return Ok(());
         }
         let expected = self.recovered.entries.last().map_or(self.base, |last| last.index) + 1;
         if entry.index != expected {
-            let detail = format!("entry {} stands where {expected} is due", entry.index);
+            let detail = format!("found entry {} where entry {expected} was expected", entry.index);
             return Err(Error::damaged("read log", path_text(path), detail));
         }
         self.recovered.entries.push(entry);
@@ -333,12 +334,12 @@
 }
 
 fn decode_record(bytes: &[u8]) -> Option<(Record, usize)> {
-    let body = checked_body(bytes)?;
+    let body = verified_body(bytes)?;
     let record = binary::decode(body).ok()?;
     Some((record, HEADER_BYTES + body.len()))
 }
 
-fn checked_body(bytes: &[u8]) -> Option<&[u8]> {
+fn verified_body(bytes: &[u8]) -> Option<&[u8]> {
     let size_field = bytes.get(..4)?;
     let checksum_field = bytes.get(4..HEADER_BYTES)?;
     let size = u32::from_le_bytes(size_field.try_into().ok()?) as usize;
@@ -359,20 +360,20 @@
     None
 }
 
-fn read_whole<T: DeserializeOwned>(path: &Path) -> Result<Option<T>> {
+fn read_file<T: DeserializeOwned>(path: &Path) -> Result<Option<T>> {
     let mut bytes = Vec::new();
     match File::open(path).and_then(|mut file| file.read_to_end(&mut bytes)) {
         Ok(_) => {}
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
         Err(error) => return Err(file_error("read", path, error)),
     }
-    let Some(body) = checked_body(&bytes) else {
+    let Some(body) = verified_body(&bytes) else {
         return Err(Error::damaged("read", path_text(path), "the checksum does not match"));
     };
     binary::decode(body).map(Some).map_err(|error| Error::damaged("read", path_text(path), error))
 }
 
-fn write_whole<T: Serialize>(folder: &Path, name: &str, value: &T) -> Result<()> {
+fn write_file<T: Serialize>(folder: &Path, name: &str, value: &T) -> Result<()> {
     let body = bincode::serde::encode_to_vec(value, standard())
         .map_err(|error| Error::failed("encode", name, error))?;
     let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
