--- a/src/control/raft/mod.rs
+++ b/src/control/raft/mod.rs
@@ -277,7 +277,7 @@
                 );
             }
             Message::Vote { .. } => {
-                self.send_after_store(from, Message::VoteReply { granted: false })
+                self.send_after_store(from, Message::VoteReply { granted: false });
             }
             _ => {}
         }
--- a/src/control/replica/applying.rs
+++ b/src/control/replica/applying.rs
@@ -104,7 +104,7 @@
         match read {
             Read::Renewals(renewals) => {
                 for renewal in renewals {
-                    self.complete_renewal(renewal);
+                    self.confirm_renewal(renewal);
                 }
             }
             Read::Welcome { session } => self.welcome_follower(session),
--- a/src/control/replica/registration.rs
+++ b/src/control/replica/registration.rs
@@ -376,9 +376,7 @@
                 let up = SessionUp::Traffic { loads: Vec::new(), used, failing };
                 self.handle_gateway_message(now_ms, wall_ms, &from, up);
             }
-            SessionUp::CreditAsks(asks) => {
-                self.answer_credit_asks(now_ms, id, &from.gateway, &asks)
-            }
+            SessionUp::CreditAsks(asks) => self.answer_credit(now_ms, id, &from.gateway, &asks),
             SessionUp::Heartbeats(heartbeats) => {
                 for heartbeat in heartbeats {
                     self.process_heartbeat(now_ms, wall_ms, heartbeat, Waiter::NoReply);
--- a/src/control/replica/sessions.rs
+++ b/src/control/replica/sessions.rs
@@ -157,18 +157,16 @@
         });
     }
 
-    pub(super) fn complete_renewal(&mut self, renewal: Renewal) {
+    pub(super) fn confirm_renewal(&mut self, renewal: Renewal) {
         match renewal {
-            Renewal::Direct { session, sent_at_ms } => {
-                self.complete_direct_renewal(session, sent_at_ms)
-            }
+            Renewal::Direct { session, sent_at_ms } => self.confirm_direct(session, sent_at_ms),
             Renewal::ViaDistributor { session, number, gateways } => {
-                self.complete_distributor_renewal(session, number, gateways);
+                self.confirm_forwarded(session, number, gateways);
             }
         }
     }
 
-    fn complete_direct_renewal(&mut self, id: u64, sent_at_ms: u64) {
+    fn confirm_direct(&mut self, id: u64, sent_at_ms: u64) {
         let index = self.applied;
         let Some(session) = self.sessions.get_mut(&id) else { return };
         session.renewed_at_ms = Some(self.registered.ticked_at_ms());
@@ -185,7 +183,7 @@
         }
     }
 
-    fn complete_distributor_renewal(&mut self, id: u64, number: u64, gateways: Vec<Arc<str>>) {
+    fn confirm_forwarded(&mut self, id: u64, number: u64, gateways: Vec<Arc<str>>) {
         let now_ms = self.registered.ticked_at_ms();
         let Some(session) = self.sessions.get_mut(&id) else { return };
         session.renewed_at_ms = Some(now_ms);
--- a/src/control/replica/terms.rs
+++ b/src/control/replica/terms.rs
@@ -9,7 +9,7 @@
     /// The term of the last applied entry.
     applied: u64,
     /// Number of terms whose first entry was applied since start times were last recorded.
-    new_terms: u32,
+    unrecorded_starts: u32,
     started_at_ms: Option<u64>,
     previous_started_at_ms: Option<u64>,
 }
@@ -19,14 +19,14 @@
     pub(super) fn applied(&mut self, term: u64) {
         if term > self.applied {
             self.applied = term;
-            self.new_terms += 1;
+            self.unrecorded_starts += 1;
         }
     }
 
     /// Records `now_ms` as the start time of terms whose first entry was applied since the last
     /// call.
     pub(super) fn record_starts(&mut self, now_ms: u64) {
-        for _ in 0..std::mem::take(&mut self.new_terms) {
+        for _ in 0..std::mem::take(&mut self.unrecorded_starts) {
             self.previous_started_at_ms = self.started_at_ms.replace(now_ms);
         }
     }
