--- a/tests/control_processes.rs
+++ b/tests/control_processes.rs
@@ -1,7 +1,7 @@
-//! Replicas of control as processes: killed, frozen, without their disk, cut off, idle.
+//! Control replicas as processes that are killed, frozen, cut off, idle, or lose their disk.
 //!
-//! Every test waits on conditions; none depends on how fast the machine is, beyond the bounds that
-//! it states.
+//! Every test waits for conditions; beyond the bounds that a test states, none depends on the speed
+//! of the machine.
 
 mod common;
 
@@ -30,7 +30,7 @@
             "{{kind: Service, name: taichung, version: {version}, workspace: w1, template: quote, \
              parameters: {{adapter: shop-a, adapter_version: {version}}}}}\n"
         );
-        // An operator resends, at another gateway, until the change is accepted.
+        // An operator resends to another gateway until the change is accepted.
         for attempt in 0.. {
             let got = region.apply(attempt % 3, &text).await;
             if got.status == StatusCode::OK {
@@ -46,7 +46,7 @@
     }
     for gateway in 0..3 {
         let expected = format!("shop-a@{accepted}");
-        wait_for("the last accepted version is in force", async || {
+        wait_for("the last accepted version is served", async || {
             let path = "/v1/models/taichung";
             let got = region.send(region.callers(gateway), Method::GET, path, &[], "").await;
             got.is_ok_and(|got| got.json()["adapter"] == expected.as_str())
@@ -72,7 +72,7 @@
     region.controls[0].kill();
     std::fs::remove_dir_all(region.data_folder(0)).expect("the folder can be removed");
     region.controls[0].start();
-    wait_for("the repaired replica votes, the lost identity is gone", async || {
+    wait_for("the replica votes under a new id and the lost id is removed", async || {
         let dump = region.control_dump(0).await;
         let members = dump["group"]["members"].as_array().cloned().unwrap_or_default();
         let own = members.iter().find(|member| member[1] == dump["group"]["id"]);
@@ -80,7 +80,7 @@
     })
     .await;
     let id = region.control_dump(0).await["group"]["id"].as_u64();
-    assert!(id > Some(3), "it came back as the founder that it was: {id:?}");
+    assert!(id > Some(3), "the replica restarted under a founder's id: {id:?}");
     region.controls[1].kill();
     wait_for("changes are accepted again", async || {
         let text = "{kind: Service, name: new, version: 1, workspace: w2, template: quote, \
@@ -104,7 +104,7 @@
     for process in &region.controls {
         process.freeze();
     }
-    wait_for("nothing is admitted", async || {
+    wait_for("no request is admitted", async || {
         let got = region.quote(0, "taichung").await;
         if got.status == StatusCode::OK {
             return false;
@@ -122,12 +122,12 @@
     let started = Instant::now();
     for gateway in 0..3 {
         region.wait_ready(gateway).await;
-        wait_for("served again", async || {
+        wait_for("requests are served again", async || {
             region.quote(gateway, "taichung").await.status == StatusCode::OK
         })
         .await;
     }
-    println!("back after {} ms", started.elapsed().as_millis());
+    println!("all gateways serve again after {} ms", started.elapsed().as_millis());
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -135,9 +135,10 @@
     let mut region = Region::start(options()).await;
     let leader = region.leader().await;
     region.controls[leader].kill();
-    // The log may grow by a few kilobytes only; the signal is ignored so that the write fails.
+    // The log may grow by a few kilobytes only; SIGXFSZ is ignored so that the write fails instead
+    // of ending the process.
     region.controls[leader].start_under(&["trap '' XFSZ; ulimit -f 8"]);
-    wait_for("it follows again", async || {
+    wait_for("the replica knows a leader again", async || {
         region.control_dump(leader).await["group"]["leader"].is_number()
     })
     .await;
@@ -157,7 +158,7 @@
     assert_eq!(status.code(), Some(3), "{}", region.controls[leader].log());
     assert!(region.controls[leader].log().contains("event=storage_failed"));
     region.controls[leader].start();
-    wait_for("it holds everything again", async || {
+    wait_for("the replica has applied all entries again", async || {
         let dump = region.control_dump(leader).await;
         let other = region.control_dump((leader + 1) % 3).await;
         dump["group"]["applied"].is_number()
@@ -166,10 +167,10 @@
     .await;
 }
 
-/// Each round of storing and sending once scheduled the next one, and a replica with nothing to do
-/// kept a whole core busy.
+/// Guards against a busy loop: each flush once scheduled the next one, and an idle replica used a
+/// whole core.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_idle_replica_does_not_spin() {
+async fn an_idle_replica_does_not_flush_in_a_loop() {
     let region = Region::start(options()).await;
     let leader = region.leader().await;
     let flushes = async || {
@@ -177,6 +178,6 @@
     };
     let before = flushes().await;
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let rounds = flushes().await - before;
-    assert!(rounds > 0 && rounds < 2_000, "{rounds} rounds in a second");
+    let flush_count = flushes().await - before;
+    assert!(flush_count > 0 && flush_count < 2_000, "{flush_count} flushes in a second");
 }
--- a/tests/disk_full.rs
+++ b/tests/disk_full.rs
@@ -1,4 +1,4 @@
-//! A replica whose disk takes no more bytes for a while.
+//! A replica whose disk is full for a while.
 
 mod common;
 
@@ -14,10 +14,10 @@
 use winchvane::message::{ControlReply, ControlRequest};
 use winchvane::routing::RoutingConfiguration;
 
-/// Keeps nothing, and is full while told so.
+/// Storage that keeps nothing and fails with a full disk while `full` is set.
 struct FullDisk {
     full: Arc<AtomicBool>,
-    refused: Arc<AtomicU32>,
+    failed_writes: Arc<AtomicU32>,
 }
 
 impl FullDisk {
@@ -25,7 +25,7 @@
         if !self.full.load(Ordering::SeqCst) {
             return Ok(());
         }
-        self.refused.fetch_add(1, Ordering::SeqCst);
+        self.failed_writes.fetch_add(1, Ordering::SeqCst);
         Err(Error::io("append", "log", std::io::ErrorKind::StorageFull.into()))
     }
 }
@@ -72,14 +72,17 @@
 }
 
 #[tokio::test]
-async fn a_full_disk_promises_nothing_and_is_used_again_once_it_takes_bytes() {
-    let (full, refused) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU32::new(0)));
-    let actor = start(FullDisk { full: full.clone(), refused: refused.clone() }).await;
+async fn a_full_disk_acknowledges_nothing_and_is_used_again_once_it_has_space() {
+    let (full, failed_writes) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU32::new(0)));
+    let actor = start(FullDisk { full: full.clone(), failed_writes: failed_writes.clone() }).await;
     call_until_accepted(&actor, 1).await;
     full.store(true, Ordering::SeqCst);
     let reply = call(&actor, put(2)).await;
-    assert!(!matches!(reply, Some(ControlReply::Accepted)), "nothing holds it yet");
-    assert!(refused.load(Ordering::SeqCst) > 0);
+    assert!(
+        !matches!(reply, Some(ControlReply::Accepted)),
+        "a change that is not stored is acknowledged"
+    );
+    assert!(failed_writes.load(Ordering::SeqCst) > 0);
     full.store(false, Ordering::SeqCst);
     call_until_accepted(&actor, 3).await;
     let read = call(&actor, ControlRequest::GetRouting).await;
--- a/tests/fuzz_storage.rs
+++ b/tests/fuzz_storage.rs
@@ -1,4 +1,4 @@
-//! Logs of a replica with damaged parts: what is found again is what was written, up to some record,
+//! Opens data folders with random damage: the recovered state is one that stood after some record,
 //! or the folder is refused as damaged.
 
 #[path = "common/fuzz.rs"]
@@ -17,8 +17,8 @@
 
 type State = (HardState, Vec<Entry>);
 
-/// A log with the place where each of its records ends, and the state that stands there.
-struct Written {
+/// A log, with the offset at which each record ends and the state after it.
+struct WrittenLog {
     bytes: Vec<u8>,
     ends: Vec<usize>,
     states: Vec<State>,
@@ -28,26 +28,26 @@
 enum Damage {
     Flip(Index, u8),
     Cut(Index),
-    Double(Index, Index),
+    Duplicate(Index, Index),
     Zero(Index, Index),
     Append(Vec<u8>),
 }
 
 fn damage() -> impl Strategy<Value = Damage> {
-    let place = any::<Index>;
+    let offset = any::<Index>;
     prop_oneof![
-        4 => (place(), 1..=u8::MAX).prop_map(|(at, bits)| Damage::Flip(at, bits)),
-        1 => place().prop_map(Damage::Cut),
-        1 => (place(), place()).prop_map(|(from, to)| Damage::Double(from, to)),
-        1 => (place(), place()).prop_map(|(from, to)| Damage::Zero(from, to)),
+        4 => (offset(), 1..=u8::MAX).prop_map(|(at, bits)| Damage::Flip(at, bits)),
+        1 => offset().prop_map(Damage::Cut),
+        1 => (offset(), offset()).prop_map(|(from, to)| Damage::Duplicate(from, to)),
+        1 => (offset(), offset()).prop_map(|(from, to)| Damage::Zero(from, to)),
         1 => vec(any::<u8>(), 1..80).prop_map(Damage::Append),
     ]
 }
 
 fn apply(bytes: &mut Vec<u8>, damage: &Damage) {
-    let places = bytes.len() + 1;
+    let offset_count = bytes.len() + 1;
     let ordered = |from: &Index, to: &Index| {
-        let (from, to) = (from.index(places), to.index(places));
+        let (from, to) = (from.index(offset_count), to.index(offset_count));
         (from.min(to), from.max(to))
     };
     match damage {
@@ -56,8 +56,8 @@
             bytes[at] ^= bits;
         }
         Damage::Flip(..) => {}
-        Damage::Cut(at) => bytes.truncate(at.index(places)),
-        Damage::Double(from, to) => {
+        Damage::Cut(at) => bytes.truncate(at.index(offset_count)),
+        Damage::Duplicate(from, to) => {
             let (from, to) = ordered(from, to);
             let part = bytes[from..to].to_vec();
             bytes.splice(to..to, part);
@@ -80,8 +80,9 @@
     panic!("there is no log");
 }
 
-/// Stores one record at a time: ten entries, of which the last four are replaced in a later term.
-fn written() -> Written {
+/// Stores ten entries, one record at a time, then replaces the last four in a later term and adds
+/// two.
+fn write_log() -> WrittenLog {
     let folder = TempDir::new().expect("a folder can be made");
     let mut storage = FileStorage::open(folder.path()).expect("it opens").storage;
     let mut states = vec![State::default()];
@@ -108,12 +109,12 @@
         ends.push(log.metadata().expect("the log has a size").len() as usize);
     }
     let bytes = std::fs::read(&log).expect("the log can be read");
-    Written { bytes, ends, states }
+    WrittenLog { bytes, ends, states }
 }
 
 #[test]
-fn a_damaged_log_is_a_part_from_its_beginning_or_refused() {
-    let written = written();
+fn a_damaged_log_is_recovered_up_to_a_record_or_refused() {
+    let written = write_log();
     check(vec(damage(), 1..3), |damages| {
         let folder = TempDir::new().expect("a folder can be made");
         let mut bytes = written.bytes.clone();
@@ -134,8 +135,8 @@
 }
 
 #[test]
-fn records_that_stand_twice_change_nothing_or_are_refused() {
-    let written = written();
+fn duplicated_records_change_nothing_or_are_refused() {
+    let written = write_log();
     let last = written.states.last().expect("there are states");
     check((any::<Index>(), any::<Index>()), |(from, to)| {
         let places = (from.index(written.ends.len()), to.index(written.ends.len()));
@@ -156,7 +157,7 @@
 }
 
 #[test]
-fn any_bytes_as_a_log_are_empty_or_refused() {
+fn arbitrary_bytes_are_an_empty_log_or_refused() {
     check(vec(any::<u8>(), 0..400), |bytes| {
         let folder = TempDir::new().expect("a folder can be made");
         write(folder.path().join("log-00000000"), &bytes).expect("it can be written");
@@ -178,16 +179,16 @@
     storage.save_snapshot(&snapshot, HardState::default(), &[]).expect("it can be stored");
     FileStorage::write_identity(folder.path(), &identity).expect("it can be stored");
     let files = ["snapshot", "identity"].map(|name| folder.path().join(name));
-    let whole = files.clone().map(|file| std::fs::read(file).expect("it can be read"));
+    let undamaged = files.clone().map(|file| std::fs::read(file).expect("it can be read"));
     check((0..2_usize, vec(damage(), 1..3)), |(which, damages)| {
-        let mut bytes = whole[which].clone();
+        let mut bytes = undamaged[which].clone();
         for damage in &damages {
             apply(&mut bytes, damage);
         }
         write(&files[which], &bytes).expect("it can be written");
         let found = FileStorage::open(folder.path()).map(|opened| opened.snapshot);
         let read = FileStorage::read_identity(folder.path());
-        write(&files[which], &whole[which]).expect("it can be written");
+        write(&files[which], &undamaged[which]).expect("it can be written");
         match found {
             Ok(found) => prop_assert_eq!(found, Some(snapshot.clone())),
             Err(error) => prop_assert!(error.is_damaged(), "{}", error),
--- a/tests/permits.rs
+++ b/tests/permits.rs
@@ -1,4 +1,4 @@
-//! The weight store's budget is never exceeded, also while leaders change and gateways die.
+//! Permits: the weight store's budget is never exceeded, even when leaders change and gateways die.
 
 use winchvane::control::permit::{PermitOutcome, Permits, StoreBudget};
 
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn rate_and_concurrency_hold_and_the_most_urgent_goes_first() {
+fn rate_and_concurrency_are_bounded_and_the_most_urgent_request_goes_first() {
     let mut permits = Permits::new(BUDGET, 0);
     for token in 0..40 {
         permits.request(0, token, "g".into(), token as f32, 60_000);
@@ -37,13 +37,13 @@
         }
         assert!(held.len() <= 4, "at {now_ms} ms");
     }
-    // Nine a second, and what a full bucket holds at the start.
+    // Nine loads a second for four seconds, and at most a full bucket of four more.
     assert!((33..=40).contains(&started.len()), "{}", started.len());
     assert!(started.is_sorted_by(|one, other| one > other), "{started:?}");
 }
 
 #[test]
-fn a_dead_holder_gives_its_share_back_when_its_permit_ends() {
+fn the_permit_of_a_dead_gateway_expires() {
     let mut permits = Permits::new(BUDGET, 0);
     for token in 0..5 {
         permits.request(0, token, "dead".into(), 1.0, 60_000);
@@ -54,7 +54,7 @@
     assert_eq!(permits.in_use(), 4);
     assert!(granted(&permits.poll(9_000)).is_empty());
     assert_eq!(granted(&permits.poll(11_000)).len(), 1);
-    // Another gateway cannot give a permit back that is not its own.
+    // A gateway cannot return the permit of another one.
     let (_, id) = granted(&{
         permits.request(11_200, 9, "mine".into(), 1.0, 1_000);
         permits.poll(11_200)
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_new_leader_waits_until_the_permits_of_the_last_have_ended() {
+fn a_new_leader_waits_until_the_permits_of_the_previous_one_have_expired() {
     let mut permits = Permits::new(BUDGET, 0);
     permits.take_over(5_000, 2, false);
     permits.request(5_000, 1, "g".into(), 1.0, 1_000);
--- a/tests/raft.rs
+++ b/tests/raft.rs
@@ -1,4 +1,4 @@
-//! Rules of the log that need no group: one replica, its messages and its disk.
+//! Raft rules that need no group: a single replica, its messages and its stored state.
 
 use winchvane::control::raft::{
     Envelope, HardState, Member, Members, Message, Raft, Recovered, Timing,
@@ -18,7 +18,7 @@
     Raft::new(1, founders(), recovered, Timing::default(), 1, 0)
 }
 
-/// Asks for a vote; whether it was given, and what the replica stored with it.
+/// Requests a vote; returns whether it was granted and the term and vote to store.
 fn ask(raft: &mut Raft, from: u64, term: u64) -> (bool, Option<HardState>) {
     let message = Message::Vote { last_index: 0, last_term: 0, transfer: false };
     raft.receive(10, Envelope { from, to: 1, term, message });
@@ -31,15 +31,15 @@
 
 #[test]
 fn a_replica_votes_once_in_a_term_also_across_a_restart() {
-    // The term is known already, so that only the vote itself makes the state worth storing.
+    // The term is already stored, so only the vote changes what has to be stored.
     let mut raft = replica(HardState { term: 5, vote: None });
     let (granted, stored) = ask(&mut raft, 2, 5);
     assert!(granted);
-    let stored = stored.expect("a vote is stored before it is told");
+    let stored = stored.expect("a granted vote has to be stored");
     let mut restarted = replica(stored);
-    assert!(!ask(&mut restarted, 3, 5).0, "a second vote in one term");
-    assert!(ask(&mut restarted, 2, 5).0, "the same vote may be told again");
-    assert!(ask(&mut restarted, 3, 6).0, "another term is another vote");
+    assert!(!ask(&mut restarted, 3, 5).0, "a second vote in one term is granted");
+    assert!(ask(&mut restarted, 2, 5).0, "the same vote may be granted again");
+    assert!(ask(&mut restarted, 3, 6).0, "a vote in a later term is granted");
 }
 
 #[test]
@@ -50,7 +50,7 @@
     raft.receive(5, Envelope { from: 2, to: 1, term: 5, message: append });
     raft.take_output(5);
     assert!(!ask(&mut raft, 3, 6).0);
-    assert_eq!(raft.term(), 5, "nor does it leave the leader's term");
+    assert_eq!(raft.term(), 5, "the replica leaves the leader's term");
 }
 
 #[test]
@@ -65,12 +65,12 @@
     assert!(raft.is_leader());
     let message = Message::AppendReply { matched: true, index: 1, round: 1 };
     raft.receive(5_020, Envelope { from: 2, to: 1, term: 1, message });
-    assert_eq!(raft.commit(), 0, "one stored copy of three is no majority");
+    assert_eq!(raft.commit(), 0, "one stored copy of three is no quorum");
     raft.mark_persisted(1);
     assert_eq!(raft.commit(), 1);
 }
 
-/// A leader of three voters with one learner that holds the log.
+/// A leader of three voters and a learner that has the whole log.
 fn leader_with_learner(target_voters: usize) -> Raft {
     let mut members = founders();
     let learner =
@@ -89,7 +89,7 @@
     raft
 }
 
-/// Lets replicas answer the round that was sent last.
+/// Delivers replies of `replicas` to the round that was sent last.
 fn answer(raft: &mut Raft, replicas: &[u64], now_ms: u64, round: u64) {
     raft.take_output(now_ms);
     for from in replicas {
@@ -120,28 +120,32 @@
 }
 
 #[test]
-fn a_leader_may_act_alone_only_for_a_time_after_it_sent_what_a_majority_answered() {
+fn the_leader_lease_starts_when_a_round_that_a_quorum_answered_was_sent() {
     let mut raft = leader_with_learner(3);
-    let sent_by_ms = raft.lease_until_ms();
-    assert!(sent_by_ms <= 5_020 + Timing::default().election_ms);
-    // An answer that is read late, say after the process stood still, prolongs nothing.
+    let lease_until_ms = raft.lease_until_ms();
+    assert!(lease_until_ms <= 5_020 + Timing::default().election_ms);
+    // A reply that is read late, for example after the process stood still, does not extend the
+    // lease.
     let message = Message::AppendReply { matched: true, index: 1, round: 1 };
     raft.receive(60_000, Envelope { from: 3, to: 1, term: 1, message });
     assert!(raft.lease_until_ms() <= 5_020 + Timing::default().election_ms);
 }
 
 #[test]
-fn a_replica_that_restarted_stands_before_a_whole_election_time() {
+fn a_restarted_replica_starts_an_election_within_half_the_election_time() {
     let recovered =
         || Recovered { hard_state: HardState { term: 3, vote: None }, ..Recovered::default() };
     let election_ms = Timing::default().election_ms;
     for seed in 0..50 {
         let mut restarted = Raft::new(1, founders(), recovered(), Timing::default(), seed, 0);
         restarted.tick(election_ms / 2 + 1);
-        let stands = restarted.take_output(election_ms / 2 + 1).late;
-        assert!(!stands.is_empty(), "nobody else may lead");
+        let messages = restarted.take_output(election_ms / 2 + 1).late;
+        assert!(!messages.is_empty(), "the restarted replica starts no election in time");
         let mut new = Raft::new(1, founders(), Recovered::default(), Timing::default(), seed, 0);
         new.tick(election_ms - 1);
-        assert!(new.take_output(election_ms - 1).late.is_empty(), "founders wait for each other");
+        assert!(
+            new.take_output(election_ms - 1).late.is_empty(),
+            "a founder starts an election too soon"
+        );
     }
 }
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -1,5 +1,6 @@
-//! Random failures over the log, the ledger and the configuration; the group checks its invariants
-//! after each step. `WINCHVANE_SEEDS=1000 cargo test --release --test random` runs longer.
+//! Random operations and failures on the log, the ledger and the configuration; the group checks
+//! its invariants after each step. `WINCHVANE_SEEDS=1000 cargo test --release --test random` runs
+//! more seeds.
 
 mod common;
 
@@ -20,20 +21,20 @@
 fn invariants_hold_under_random_failures() {
     for seed in 0..seeds() {
         println!("seed {seed}");
-        Course::new(seed).run();
+        Simulation::new(seed).run();
     }
 }
 
-/// The same with messages that come up to 8 s late or twice, so that they reach processes which
-/// were started anew, leaders of former terms and replicas with another disk.
+/// The same with messages that arrive up to 8 s late or twice, so that they reach restarted
+/// processes, leaders of former terms and replicas with another disk.
 #[test]
 fn invariants_hold_with_messages_of_ended_incarnations() {
     for seed in 0..seeds() {
         println!("seed {seed}");
-        let mut course = Course::new(seed);
-        course.group.comes_very_late = true;
-        course.group.disturbed = true;
-        course.run();
+        let mut simulation = Simulation::new(seed);
+        simulation.group.comes_very_late = true;
+        simulation.group.disturbed = true;
+        simulation.run();
     }
 }
 
@@ -42,13 +43,13 @@
     seeds.unwrap_or(DEFAULT_SEEDS)
 }
 
-struct Course {
+struct Simulation {
     group: Group,
     rng: SmallRng,
     next_claim: u128,
 }
 
-impl Course {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let mut group = Group::new(3, seed);
         let rng = SmallRng::seed_from_u64(seed);
@@ -85,7 +86,7 @@
     fn step(&mut self) {
         let name = NAMES[self.rng.random_range(0..NAMES.len())];
         match self.rng.random_range(0..100) {
-            0..30 => self.operate(),
+            0..30 => self.propose_operation(),
             30..60 => {
                 let duration_ms = self.rng.random_range(20..400);
                 self.group.run(duration_ms);
@@ -108,7 +109,7 @@
         }
     }
 
-    fn operate(&mut self) {
+    fn propose_operation(&mut self) {
         let Some(leader) = self.group.leader() else { return };
         let key = format!("k{}", self.rng.random_range(0..6));
         let gateway = format!("g{}", self.rng.random_range(0..3));
@@ -116,7 +117,7 @@
         let operation = match self.rng.random_range(0..10) {
             0..3 => apply(&key, self.rng.random_range(1..30)),
             3..6 => {
-                // One claim in three is sent again, as after a lost answer.
+                // One claim in three is a resend, as after a lost answer.
                 if self.rng.random_range(0..3) > 0 {
                     self.next_claim += 1;
                 }
@@ -140,8 +141,8 @@
         self.group.propose(&leader, String::new(), operation);
     }
 
-    /// Loses a disk only while the other two hold everything: two lost disks are beyond what three
-    /// replicas promise.
+    /// Loses a disk only while the other two replicas hold the whole log: three replicas do not
+    /// survive the loss of two disks.
     fn lose_disk(&mut self, name: &str) {
         let mut voters = 0;
         let mut behind = false;
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -1,4 +1,4 @@
-//! What is replicated of routes, registered endpoints and versions.
+//! The replicated registry: routing configuration, registered endpoints and weight versions.
 
 use std::sync::Arc;
 
@@ -24,8 +24,8 @@
     }
 }
 
-/// The incarnation of `name` that was born at `born_ms`.
-fn life(name: &str, born_ms: u64, port: u16) -> RegisteredEndpoint {
+/// The incarnation of `name` with this birth time.
+fn incarnation(name: &str, born_ms: u64, port: u16) -> RegisteredEndpoint {
     let id = RegisteredEndpoint::incarnation_id(name, born_ms);
     RegisteredEndpoint { id, born_ms, ..endpoint(name, port) }
 }
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn the_highest_version_holds_and_others_change_nothing() {
+fn only_a_higher_routing_version_is_accepted() {
     let mut registry = Registry::default();
     assert_eq!(registry.put_routing(configuration(5), "five".into()).len(), 1);
     assert!(registry.put_routing(configuration(5), "another five".into()).is_empty());
@@ -55,14 +55,14 @@
 }
 
 #[test]
-fn an_incarnation_that_ended_before_it_was_known_stays_away() {
+fn an_incarnation_that_ended_before_it_was_registered_is_refused() {
     let mut registry = Registry::default();
     assert!(registry.end(&end("one", None)).is_empty());
     assert!(registry.register(endpoint("one", 7_001)).is_empty());
 }
 
 #[test]
-fn an_address_has_one_holder() {
+fn an_address_belongs_to_one_endpoint() {
     let mut registry = Registry::default();
     registry.register(endpoint("one", 7_001));
     let changes = registry.register(endpoint("two", 7_001));
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn versions_only_rise() {
+fn weight_versions_only_rise() {
     let mut registry = Registry::default();
     let name = WeightsName::new("base", Some("shop"));
     let newest = |version| NewestVersion { name: name.clone(), version };
@@ -101,71 +101,80 @@
     assert_eq!(registry.copies()["one"], [name("mill")]);
     registry.note_copies(vec![copy("shop")]);
     registry.put_version(NewestVersion { name: name("shop"), version: 2 });
-    assert_eq!(registry.copies()["one"].len(), 2, "named again, nothing is replaced");
+    assert_eq!(registry.copies()["one"].len(), 2, "the same version replaces no copies");
 }
 
-/// Users saw an endpoint that came back under its name, at another address, served never again.
+/// Guards against an endpoint that restarts under its name at another address and is never served
+/// again.
 #[test]
-fn an_endpoint_that_restarts_under_its_name_replaces_what_it_was() {
+fn a_restarted_endpoint_replaces_its_former_incarnation() {
     let mut registry = Registry::default();
-    registry.register(life("one", 100, 7_001));
-    let changes = registry.register(life("one", 200, 7_002));
+    registry.register(incarnation("one", 100, 7_001));
+    let changes = registry.register(incarnation("one", 200, 7_002));
     assert!(
         matches!(&changes[..], [Change::Deregistered(gone), Change::Registered(new)]
         if &**gone == "one@100" && &*new.id == "one@200"),
         "{changes:?}"
     );
-    assert!(registry.register(life("one", 100, 7_001)).is_empty(), "a late heartbeat");
-    assert_eq!(registry.named("one"), Some(&life("one", 200, 7_002)));
+    assert!(registry.register(incarnation("one", 100, 7_001)).is_empty(), "a late heartbeat");
+    assert_eq!(registry.named("one"), Some(&incarnation("one", 200, 7_002)));
 }
 
 #[test]
 fn an_endpoint_that_left_comes_back_as_another_incarnation() {
     let mut registry = Registry::default();
-    registry.register(life("one", 100, 7_001));
+    registry.register(incarnation("one", 100, 7_001));
     assert_eq!(registry.end(&end("one", Some(100))).len(), 1);
-    assert!(registry.register(life("one", 100, 7_001)).is_empty(), "a late heartbeat");
-    assert_eq!(registry.register(life("one", 200, 7_001)).len(), 1);
-    assert!(registry.end(&end("one", Some(100))).is_empty(), "a late end of the one before");
-    assert_eq!(registry.named("one"), Some(&life("one", 200, 7_001)));
-    assert_eq!(registry.end(&end("one", None)).len(), 1, "the one that is registered");
+    assert!(registry.register(incarnation("one", 100, 7_001)).is_empty(), "a late heartbeat");
+    assert_eq!(registry.register(incarnation("one", 200, 7_001)).len(), 1);
+    assert!(
+        registry.end(&end("one", Some(100))).is_empty(),
+        "a late end of the former incarnation"
+    );
+    assert_eq!(registry.named("one"), Some(&incarnation("one", 200, 7_001)));
+    assert_eq!(registry.end(&end("one", None)).len(), 1, "the registered incarnation");
 }
 
 #[test]
 fn a_restarted_endpoint_keeps_the_gateway_that_orders_it() {
     let mut registry = Registry::default();
-    registry.register(life("one", 100, 7_001));
-    let address = life("one", 100, 7_001).address;
+    registry.register(incarnation("one", 100, 7_001));
+    let address = incarnation("one", 100, 7_001).address;
     registry.choose_holders(9, vec![HolderChoice { address, gateway: "g-1".into() }]);
-    registry.register(life("one", 200, 7_002));
-    let holder = registry.order_holders().get(&life("one", 200, 7_002).address);
+    registry.register(incarnation("one", 200, 7_002));
+    let holder = registry.order_holders().get(&incarnation("one", 200, 7_002).address);
     assert_eq!(holder.map(|holder| (&*holder.gateway, holder.token)), Some(("g-1", 9)));
 }
 
-/// Entries of other writers name services that nobody configured, perhaps at an address that is in use.
+/// Other writers may register endpoints of services that are not configured, possibly at an address
+/// that is in use.
 #[test]
-fn an_endpoint_of_an_unknown_service_ends_none_that_serves() {
+fn an_endpoint_of_an_unknown_service_ends_no_configured_one() {
     let mut registry = Registry::default();
     let service = ServiceSpec { name: "quotes".into(), connections_max: 9, engine: None };
     let configuration =
         RoutingConfiguration { version: 1, services: vec![service], ..Default::default() };
     registry.put_routing(Arc::new(configuration), "one".into());
-    registry.register(life("one", 100, 7_001));
-    for foreign in [life("two", 300, 7_001), life("one", 300, 7_009), life("one", 100, 7_001)] {
+    registry.register(incarnation("one", 100, 7_001));
+    for foreign in [
+        incarnation("two", 300, 7_001),
+        incarnation("one", 300, 7_009),
+        incarnation("one", 100, 7_001),
+    ] {
         let foreign = RegisteredEndpoint { service: "unheard-of".into(), ..foreign };
         assert!(registry.register(foreign).is_empty());
     }
-    assert_eq!(registry.named("one"), Some(&life("one", 100, 7_001)));
+    assert_eq!(registry.named("one"), Some(&incarnation("one", 100, 7_001)));
 }
 
 #[test]
 fn an_endpoint_is_found_by_its_name_whatever_others_are_called() {
     let mut registry = Registry::default();
     for (number, name) in ["one", "one-1", "one1", "on", "two", "one@"].iter().enumerate() {
-        registry.register(life(name, 1_700_000_000_000, 7_001 + number as u16));
+        registry.register(incarnation(name, 1_700_000_000_000, 7_001 + number as u16));
     }
-    registry.register(life("none", 0, 7_100));
-    registry.register(life("one@1", 0, 7_101));
+    registry.register(incarnation("none", 0, 7_100));
+    registry.register(incarnation("one@1", 0, 7_101));
     for name in ["one", "one-1", "one1", "on", "two", "one@", "none"] {
         assert_eq!(registry.named(name).map(|endpoint| &*endpoint.name), Some(name));
     }
--- a/tests/restarts.rs
+++ b/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! Endpoints that start again under their name, as the leader of control hears them.
+//! The leader's handling of endpoints that restart under their name.
 
 mod common;
 
@@ -13,10 +13,10 @@
 };
 use winchvane::routing::{RoutingConfiguration, ServiceSpec};
 
-/// Longer than two periods of heartbeats and one that is late.
+/// Longer than two heartbeat periods and a late heartbeat.
 const SILENCE_MS: u64 = 4_500;
 
-/// A leader that is alone in its group, and the time.
+/// A leader of a group of one, with its clock.
 struct Leader {
     replica: Replica,
     now_ms: u64,
@@ -27,7 +27,7 @@
         Self::with_state(State::new())
     }
 
-    /// The next leader after this one: it knows what was committed, and nothing else.
+    /// The next leader, which knows only the committed state.
     fn next(&self) -> Self {
         Self::with_state(self.replica.state().clone())
     }
@@ -42,7 +42,7 @@
         leader
     }
 
-    /// Lets time pass, and stores and applies what has come up.
+    /// Advances the clock, then stores and applies the output.
     fn pass(&mut self, duration_ms: u64) {
         self.now_ms += duration_ms;
         self.replica.tick(self.now_ms, self.now_ms);
@@ -65,31 +65,31 @@
         self.pass(1);
     }
 
-    fn hears(&mut self, life: &RegisteredEndpoint, sequence: u64) {
-        let heartbeat = Heartbeat { endpoint: life.clone(), sequence, holds: None };
+    fn heartbeat(&mut self, incarnation: &RegisteredEndpoint, sequence: u64) {
+        let heartbeat = Heartbeat { endpoint: incarnation.clone(), sequence, holds: None };
         self.call(ControlRequest::Heartbeat(heartbeat));
     }
 
-    /// Hears of an end that does not say which incarnation it ends.
-    fn hears_end(&mut self) {
+    /// Receives a deregistration without a birth time.
+    fn deregister(&mut self) {
         self.call(ControlRequest::Deregister(EndpointEnd { name: "e-1".into(), born_ms: None }));
     }
 
-    /// True while gateways may send requests to the incarnation that was born at `born_ms`.
+    /// True while gateways may send requests to the incarnation with this birth time.
     fn takes_requests(&self, born_ms: u64) -> bool {
         let id = RegisteredEndpoint::incarnation_id("e-1", born_ms);
         let endpoints = self.replica.state().registry.endpoints();
         endpoints.get(&id).is_some_and(|endpoint| !endpoint.leaving)
     }
 
-    /// The incarnations that are registered.
+    /// The ids of the registered incarnations.
     fn registered(&self) -> Vec<Arc<str>> {
         self.replica.state().registry.endpoints().keys().cloned().collect()
     }
 }
 
-/// The incarnation of one endpoint that was born at `born_ms`.
-fn life(born_ms: u64, port: u16) -> RegisteredEndpoint {
+/// The incarnation of an endpoint with this birth time.
+fn incarnation(born_ms: u64, port: u16) -> RegisteredEndpoint {
     RegisteredEndpoint {
         id: RegisteredEndpoint::incarnation_id("e-1", born_ms),
         name: "e-1".into(),
@@ -103,66 +103,70 @@
 }
 
 #[test]
-fn a_later_incarnation_is_registered_though_its_heartbeats_count_anew() {
+fn a_later_incarnation_is_registered_although_its_heartbeats_start_at_one() {
     let mut leader = Leader::new();
-    leader.hears(&life(100, 7_001), 20);
-    leader.hears(&life(200, 7_002), 1);
+    leader.heartbeat(&incarnation(100, 7_001), 20);
+    leader.heartbeat(&incarnation(200, 7_002), 1);
     assert_eq!(leader.registered(), ["e-1@200".into()]);
 }
 
 #[test]
-fn what_comes_late_from_the_former_incarnation_changes_nothing() {
+fn late_calls_of_the_former_incarnation_change_nothing() {
     let mut leader = Leader::new();
-    leader.hears(&life(100, 7_001), 20);
-    leader.hears(&life(200, 7_002), 1);
-    leader.hears(&RegisteredEndpoint { leaving: true, ..life(100, 7_001) }, 21);
-    // One that was never heard of before ended all the same.
-    leader.hears(&life(150, 7_003), 4);
+    leader.heartbeat(&incarnation(100, 7_001), 20);
+    leader.heartbeat(&incarnation(200, 7_002), 1);
+    leader.heartbeat(&RegisteredEndpoint { leaving: true, ..incarnation(100, 7_001) }, 21);
+    // An incarnation that was never registered has ended as well.
+    leader.heartbeat(&incarnation(150, 7_003), 4);
     let end = EndpointEnd { name: "e-1".into(), born_ms: Some(100) };
     leader.call(ControlRequest::Deregister(end));
     assert_eq!(leader.registered(), ["e-1@200".into()]);
 }
 
 #[test]
-fn a_clock_that_jumped_back_keeps_no_incarnation_away() {
+fn an_earlier_birth_time_is_accepted_once_the_registered_incarnation_is_silent() {
     let mut leader = Leader::new();
-    leader.hears(&life(200, 7_001), 20);
-    leader.hears(&life(150, 7_002), 1);
-    assert_eq!(leader.registered(), ["e-1@200".into()], "the other one may only be late");
+    leader.heartbeat(&incarnation(200, 7_001), 20);
+    leader.heartbeat(&incarnation(150, 7_002), 1);
+    assert_eq!(leader.registered(), ["e-1@200".into()], "the registered incarnation may still run");
     leader.pass(SILENCE_MS);
-    leader.hears(&life(150, 7_002), 2);
-    assert_eq!(leader.registered(), ["e-1@150".into()], "the other one is silent");
+    leader.heartbeat(&incarnation(150, 7_002), 2);
+    assert_eq!(leader.registered(), ["e-1@150".into()], "the registered incarnation is silent");
 }
 
 #[test]
-fn a_heartbeat_without_a_birth_replaces_none_that_has_one() {
+fn a_heartbeat_without_a_birth_time_replaces_no_incarnation_with_one() {
     let mut leader = Leader::new();
-    leader.hears(&life(200, 7_001), 20);
+    leader.heartbeat(&incarnation(200, 7_001), 20);
     leader.pass(SILENCE_MS);
-    leader.hears(&life(0, 7_002), 21);
+    leader.heartbeat(&incarnation(0, 7_002), 21);
     assert_eq!(leader.registered(), ["e-1@200".into()]);
 }
 
 #[test]
-fn an_end_without_a_birth_right_after_a_restart_is_the_former_incarnations() {
+fn an_end_without_a_birth_time_right_after_a_restart_ends_no_running_incarnation() {
     let end = || EndpointEnd { name: "e-1".into(), born_ms: None };
     let mut leader = Leader::new();
-    leader.hears(&life(100, 7_001), 20);
-    leader.hears(&life(200, 7_002), 1);
+    leader.heartbeat(&incarnation(100, 7_001), 20);
+    leader.heartbeat(&incarnation(200, 7_002), 1);
     leader.call(ControlRequest::Deregister(end()));
-    assert_eq!(leader.registered(), ["e-1@200".into()], "it came late");
+    assert_eq!(leader.registered(), ["e-1@200".into()], "the deregistration may be late");
     leader.pass(10_000);
     leader.call(ControlRequest::Deregister(end()));
-    assert!(leader.registered().is_empty(), "it is its own by now");
+    assert!(
+        leader.registered().is_empty(),
+        "the deregistration is the registered incarnation's own"
+    );
 
-    leader.hears(&life(300, 7_003), 1);
-    leader.hears(&life(400, 7_004), 1);
-    leader.hears(&RegisteredEndpoint { leaving: true, ..life(400, 7_004) }, 2);
+    leader.heartbeat(&incarnation(300, 7_003), 1);
+    leader.heartbeat(&incarnation(400, 7_004), 1);
+    leader.heartbeat(&RegisteredEndpoint { leaving: true, ..incarnation(400, 7_004) }, 2);
     leader.call(ControlRequest::Deregister(end()));
-    assert!(leader.registered().is_empty(), "it had said that it leaves");
+    assert!(leader.registered().is_empty(), "the incarnation had announced its stop");
 }
 
-/// An entry of another writer under the endpoint's name neither replaces it nor makes its end look late.
+/// A registration by another writer under the endpoint's name neither replaces it nor makes its
+/// deregistration look late.
 #[test]
 fn an_entry_with_an_unknown_service_under_a_known_name_changes_nothing() {
     let mut leader = Leader::new();
@@ -173,110 +177,121 @@
         configuration: Arc::new(configuration),
         document: "one".into(),
     });
-    leader.hears(&life(100, 7_001), 20);
-    leader.hears(&RegisteredEndpoint { service: "unheard-of".into(), ..life(300, 7_009) }, 1);
-    leader.hears(&RegisteredEndpoint { service: "unheard-of".into(), ..life(100, 7_001) }, 30);
-    leader.hears(&life(100, 7_001), 21);
+    leader.heartbeat(&incarnation(100, 7_001), 20);
+    leader.heartbeat(
+        &RegisteredEndpoint { service: "unheard-of".into(), ..incarnation(300, 7_009) },
+        1,
+    );
+    leader.heartbeat(
+        &RegisteredEndpoint { service: "unheard-of".into(), ..incarnation(100, 7_001) },
+        30,
+    );
+    leader.heartbeat(&incarnation(100, 7_001), 21);
     assert_eq!(leader.registered(), ["e-1@100".into()]);
     leader.call(ControlRequest::Deregister(EndpointEnd { name: "e-1".into(), born_ms: None }));
-    assert!(leader.registered().is_empty(), "its own end counts");
+    assert!(leader.registered().is_empty(), "its own deregistration is accepted");
 }
 
-/// What users saw: an endpoint restarts under its id, is served, and sends the plain end of the protocol
-/// 0.3 s later; of 40 requests right after, 15 to 20 still went to it, though another one had taken over.
-/// Order of events: restart, end without a birth within 10 s, requests.
-/// Cause: such an end was taken for the former incarnation's, which it may be, and did nothing at all.
-/// Evidence: four plays from outside with one control and one gateway as processes, the same each time.
+/// Guards against requests to an endpoint that restarts under its id, is served, and deregisters
+/// without a birth time 0.3 s later: of the next 40 requests, 15 to 20 still went to it although
+/// another endpoint had taken over. A deregistration without a birth time within 10 s of a restart
+/// may belong to the former incarnation, and was ignored.
 #[test]
-fn an_end_without_a_birth_right_after_a_restart_stops_new_requests() {
+fn an_end_without_a_birth_time_right_after_a_restart_stops_new_requests() {
     let mut leader = Leader::new();
-    leader.hears(&life(100, 7_001), 20);
-    leader.hears(&life(200, 7_002), 1);
+    leader.heartbeat(&incarnation(100, 7_001), 20);
+    leader.heartbeat(&incarnation(200, 7_002), 1);
     assert!(leader.takes_requests(200));
-    leader.hears_end();
-    assert!(!leader.takes_requests(200), "it may be its own");
+    leader.deregister();
+    assert!(!leader.takes_requests(200), "the deregistration may be its own");
 }
 
 #[test]
-fn an_incarnation_that_goes_on_after_a_late_end_of_the_former_one_is_used_again() {
+fn an_incarnation_that_runs_after_a_late_end_of_the_former_one_is_used_again() {
     let mut leader = Leader::new();
-    leader.hears(&life(100, 7_001), 20);
-    leader.hears(&life(200, 7_002), 1);
-    leader.hears_end();
-    leader.hears(&life(200, 7_002), 2);
-    assert!(!leader.takes_requests(200), "this call may have been on its way before the end");
-    leader.hears(&life(200, 7_002), 3);
-    assert!(leader.takes_requests(200), "this one was sent later than the end");
+    leader.heartbeat(&incarnation(100, 7_001), 20);
+    leader.heartbeat(&incarnation(200, 7_002), 1);
+    leader.deregister();
+    leader.heartbeat(&incarnation(200, 7_002), 2);
+    assert!(
+        !leader.takes_requests(200),
+        "this heartbeat may have been sent before the deregistration"
+    );
+    leader.heartbeat(&incarnation(200, 7_002), 3);
+    assert!(leader.takes_requests(200), "this heartbeat was sent after the deregistration");
 }
 
 #[test]
-fn an_endpoint_that_says_it_leaves_is_not_used_again_after_an_end() {
+fn an_endpoint_that_announced_its_stop_is_not_used_again_after_an_end() {
     let mut leader = Leader::new();
-    leader.hears(&life(100, 7_001), 20);
-    leader.hears(&life(200, 7_002), 1);
-    leader.hears_end();
-    leader.hears(&RegisteredEndpoint { leaving: true, ..life(200, 7_002) }, 2);
+    leader.heartbeat(&incarnation(100, 7_001), 20);
+    leader.heartbeat(&incarnation(200, 7_002), 1);
+    leader.deregister();
+    leader.heartbeat(&RegisteredEndpoint { leaving: true, ..incarnation(200, 7_002) }, 2);
     for sequence in 3..9 {
-        leader.hears(&life(200, 7_002), sequence);
+        leader.heartbeat(&incarnation(200, 7_002), sequence);
         assert!(!leader.takes_requests(200), "heartbeat {sequence}");
     }
 }
 
-/// What a leader knew of restarts was in its memory alone: after a change of leader a late end of the
-/// former incarnation ended the one that serves, for good.
+/// Guards against a late deregistration of the former incarnation that ends the running one for
+/// good after a change of leader: restarts were known only in the memory of the former leader.
 #[test]
-fn a_late_end_that_reaches_the_next_leader_ends_no_incarnation_that_goes_on() {
+fn a_late_end_that_reaches_the_next_leader_ends_no_running_incarnation() {
     let mut leader = Leader::new();
-    leader.hears(&life(100, 7_001), 20);
-    leader.hears(&life(200, 7_002), 1);
+    leader.heartbeat(&incarnation(100, 7_001), 20);
+    leader.heartbeat(&incarnation(200, 7_002), 1);
     let mut next = leader.next();
-    next.hears_end();
+    next.deregister();
     assert_eq!(next.registered(), ["e-1@200".into()]);
     for sequence in 2..5 {
-        next.hears(&life(200, 7_002), sequence);
+        next.heartbeat(&incarnation(200, 7_002), sequence);
     }
     assert!(next.takes_requests(200));
 }
 
 #[test]
-fn a_leader_that_comes_after_such_an_end_uses_the_endpoint_again_too() {
+fn the_next_leader_after_a_late_end_uses_the_endpoint_again() {
     let mut leader = Leader::new();
-    leader.hears(&life(100, 7_001), 20);
-    leader.hears(&life(200, 7_002), 1);
-    leader.hears_end();
+    leader.heartbeat(&incarnation(100, 7_001), 20);
+    leader.heartbeat(&incarnation(200, 7_002), 1);
+    leader.deregister();
     let mut next = leader.next();
     for sequence in 2..5 {
         assert!(!next.takes_requests(200), "heartbeat {sequence}");
-        next.hears(&life(200, 7_002), sequence);
+        next.heartbeat(&incarnation(200, 7_002), sequence);
     }
-    assert!(next.takes_requests(200), "two calls were sent after the first that it heard");
+    assert!(
+        next.takes_requests(200),
+        "two heartbeats were sent after the first that the leader received"
+    );
 }
 
 #[test]
-fn the_next_leader_honours_the_end_of_an_endpoint_that_never_restarted() {
+fn the_next_leader_accepts_the_end_of_an_endpoint_that_never_restarted() {
     let mut leader = Leader::new();
-    leader.hears(&life(100, 7_001), 20);
+    leader.heartbeat(&incarnation(100, 7_001), 20);
     let mut next = leader.next();
-    next.hears_end();
+    next.deregister();
     assert!(next.registered().is_empty());
 }
 
-/// An end whose answer is lost is told again: the second one found the endpoint leaving, and ended it for
-/// good though it goes on.
+/// A deregistration is resent if its answer is lost. Guards against the second one finding the
+/// endpoint leaving and ending it for good although it is running.
 #[test]
-fn an_end_that_is_told_again_ends_no_incarnation_that_goes_on() {
+fn a_resent_end_ends_no_running_incarnation() {
     let mut leader = Leader::new();
-    leader.hears(&life(100, 7_001), 20);
-    leader.hears(&life(200, 7_002), 1);
-    leader.hears_end();
+    leader.heartbeat(&incarnation(100, 7_001), 20);
+    leader.heartbeat(&incarnation(200, 7_002), 1);
+    leader.deregister();
     leader.pass(1_000);
-    leader.hears_end();
+    leader.deregister();
     let mut next = leader.next();
-    next.hears_end();
+    next.deregister();
     for leader in [&mut leader, &mut next] {
         assert_eq!(leader.registered(), ["e-1@200".into()]);
         for sequence in 2..5 {
-            leader.hears(&life(200, 7_002), sequence);
+            leader.heartbeat(&incarnation(200, 7_002), sequence);
         }
         assert!(leader.takes_requests(200));
     }
--- a/tests/stalled_disk.rs
+++ b/tests/stalled_disk.rs
@@ -1,4 +1,4 @@
-//! A replica whose disk takes a write and does not come back for a while.
+//! A replica whose disk does not complete a write for a while.
 
 mod common;
 
@@ -18,11 +18,11 @@
 use winchvane::error::Result;
 use winchvane::message::{ControlRequest, NewestVersion, WeightsName};
 
-/// What a caller may wait for the address of the leader.
+/// How long a caller may wait for an answer.
 const ANSWER_MAX: Duration = Duration::from_millis(200);
 const POLL: Duration = Duration::from_millis(5);
 
-/// Keeps nothing, and does not return from a write while told so.
+/// Storage that keeps nothing and does not return from a write while `stalls` is set.
 struct StalledDisk {
     stalls: Arc<AtomicBool>,
     writes: Arc<AtomicBool>,
@@ -58,7 +58,7 @@
     ControlRequest::PutVersion(NewestVersion { name, version })
 }
 
-/// The interface of a replica that was started.
+/// The call interface of a started replica.
 fn api_of(started: common::replica::Started) -> ControlApi {
     let own: SocketAddr = ([127, 0, 0, 1], 9).into();
     let hello = distribution::hello("n1".into(), 1, "a".into(), own);
@@ -69,36 +69,34 @@
 }
 
 #[tokio::test]
-async fn a_follower_whose_disk_stalls_still_tells_who_leads() {
+async fn a_follower_whose_disk_stalls_still_names_the_leader() {
     let (stalls, writes) = (Arc::new(AtomicBool::new(true)), Arc::new(AtomicBool::new(false)));
     let disk = StalledDisk { stalls: stalls.clone(), writes: writes.clone() };
     let replica = common::replica::start(Box::new(disk), Timing::default()).await.replica;
     while !writes.load(Ordering::SeqCst) {
         tokio::time::sleep(POLL).await;
     }
-    let elsewhere: SocketAddr = ([127, 0, 0, 2], 9).into();
-    let (_leader, leader) = watch::channel(Some(elsewhere));
+    let leader_address: SocketAddr = ([127, 0, 0, 2], 9).into();
+    let (_leader, leader) = watch::channel(Some(leader_address));
     let own: SocketAddr = ([127, 0, 0, 1], 9).into();
     let hello = distribution::hello("n1".into(), 1, "a".into(), own);
     let distributor = distribution::spawn(hello, Clock::new(), leader.clone());
     let running = Running { replica, distributor, leads: Arc::default(), leader };
     let api = ControlApi::new(Arc::new(RwLock::new(Stage::Running(running))));
     let outcome = tokio::time::timeout(ANSWER_MAX, api.call(named(2))).await;
-    // The thread that writes ends before the test does.
+    // Lets the writing thread end before the test does.
     stalls.store(false, Ordering::SeqCst);
     assert!(
-        matches!(outcome, Ok(CallOutcome::Elsewhere(leader)) if leader == elsewhere),
+        matches!(outcome, Ok(CallOutcome::Elsewhere(leader)) if leader == leader_address),
         "{outcome:?}"
     );
 }
 
-/// What users saw: operators' calls and heartbeats at the replica that led were answered 503 after 0.9 s
-/// each, for as long as its disk stalled, though others had long elected another leader.
-/// Order of events: a replica leads, its disk takes a write and does not come back, calls arrive.
-/// Cause: the replica does nothing while it writes, so what it knew of the leader stayed as it was: itself.
-/// Evidence: a hunt's log, `call_answered status=503 after_ms=900` again and again during a stall.
+/// Guards against a leader that answers calls with 503 after 0.9 s each for as long as its disk
+/// stalls, although others have elected another leader: the replica does nothing while it writes,
+/// so it kept the leader it last knew, itself.
 #[tokio::test]
-async fn a_leader_whose_disk_stalls_answers_at_once_that_it_knows_nothing() {
+async fn a_leader_whose_disk_stalls_answers_at_once_without_a_leader() {
     let (stalls, writes) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
     let disk = StalledDisk { stalls: stalls.clone(), writes: writes.clone() };
     let started = common::replica::start(Box::new(disk), Timing::default()).await;
@@ -111,17 +109,19 @@
         let api = api.clone();
         async move { api.call(named(2)).await }
     });
-    // Others may elect a leader from here on.
+    // From here on, others may have elected a leader.
     tokio::time::sleep(Duration::from_millis(Timing::default().election_ms) + ANSWER_MAX).await;
     let was_answered = waiting.is_finished();
     let outcome = tokio::time::timeout(ANSWER_MAX, api.call(named(3))).await;
     stalls.store(false, Ordering::SeqCst);
-    assert!(was_answered, "the call that found the disk stalled waits on");
+    assert!(was_answered, "the call that was pending when the disk stalled is not answered");
     assert!(matches!(outcome, Ok(CallOutcome::Unknown)), "{outcome:?}");
-    let again = async {
+    let served_again = async {
         while !matches!(api.call(named(4)).await, CallOutcome::Answered(_)) {
             tokio::time::sleep(POLL).await;
         }
     };
-    tokio::time::timeout(Duration::from_secs(5), again).await.expect("it leads on, being alone");
+    tokio::time::timeout(Duration::from_secs(5), served_again)
+        .await
+        .expect("the only replica leads again");
 }
--- a/tests/storage.rs
+++ b/tests/storage.rs
@@ -1,4 +1,4 @@
-//! What a replica finds on its disk after failures.
+//! What a replica recovers from its data folder after failures.
 
 use std::fs::{OpenOptions, read, write};
 use std::path::{Path, PathBuf};
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn everything_stored_is_found_again() {
+fn all_stored_records_are_recovered() {
     let folder = filled();
     let opened = open(folder.path());
     assert_eq!(opened.recovered.hard_state, HardState { term: 1, vote: Some(1) });
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn truncated_entries_do_not_come_back() {
+fn truncated_entries_are_not_recovered() {
     let folder = filled();
     let mut opened = open(folder.path());
     let mut later = batch(2, 6..=7);
@@ -74,7 +74,7 @@
     half_a_record = { 30 },
     all_but_the_header = { 50 },
 )]
-fn a_torn_tail_is_cut_off(lost_bytes: u64) {
+fn an_incomplete_last_record_is_cut_off(lost_bytes: u64) {
     let folder = filled();
     let path = log_file(folder.path());
     let file = OpenOptions::new().write(true).open(&path).expect("the log opens");
@@ -83,13 +83,13 @@
     let mut opened = open(folder.path());
     assert_eq!(opened.recovered.entries.len(), 9);
     assert!(opened.dropped_bytes > 0);
-    // What is appended after the cut is found again.
+    // Records appended after the cut are recovered.
     opened.storage.save(&batch(2, 10..=11)).expect("it can be stored");
     assert_eq!(open(folder.path()).recovered.entries.len(), 11);
 }
 
 #[test]
-fn every_flipped_byte_in_the_middle_is_refused() {
+fn a_flipped_byte_before_the_last_record_is_refused() {
     let folder = filled();
     let path = log_file(folder.path());
     let whole = read(&path).expect("the log can be read");
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_crash_between_snapshot_and_log_keeps_the_rest() {
+fn a_crash_between_snapshot_and_log_keeps_the_later_entries() {
     let folder = filled();
     let old_log = read(log_file(folder.path())).expect("the log can be read");
     let old_path = log_file(folder.path());
@@ -143,10 +143,11 @@
     assert_eq!(indexes, [9, 10]);
 }
 
-/// An installed snapshot replaced a log that disagreed with it. The entries behind it must not come
-/// back: their old terms would make the replica vote for one that lacks accepted changes.
+/// A received snapshot replaced a log that conflicts with it. The log's later entries must not be
+/// recovered: their old terms would make the replica vote for a candidate that lacks accepted
+/// changes.
 #[test]
-fn a_log_that_disagrees_with_an_installed_snapshot_is_dropped() {
+fn a_log_that_conflicts_with_a_received_snapshot_is_dropped() {
     let folder = filled();
     let old_log = read(log_file(folder.path())).expect("the log can be read");
     let old_path = log_file(folder.path());
