--- a/src/control/client.rs
+++ b/src/control/client.rs
@@ -12,7 +12,7 @@
 use crate::wire::{Channel, Peers};
 
 const ATTEMPT_TIMEOUT_MS: u64 = 2_000;
-const PAUSE: Duration = Duration::from_millis(30);
+const RETRY_PAUSE: Duration = Duration::from_millis(30);
 
 /// Finds the leader and sends calls to it.
 ///
@@ -62,10 +62,10 @@
         loop {
             let left_ms = timeout_ms.saturating_sub(clock.now_ms());
             if left_ms == 0 {
-                return Err(give_up(may_have_run, timeout_ms));
+                return Err(unanswered_error(may_have_run, timeout_ms));
             }
             let address = self.leader();
-            let attempt_ms = left_ms.min(ATTEMPT_TIMEOUT_MS.max(extra_wait_ms(request)));
+            let attempt_ms = left_ms.min(ATTEMPT_TIMEOUT_MS.max(min_attempt_ms(request)));
             let reply = self.peers.get(address).call(Channel::Control, request, attempt_ms).await;
             match reply {
                 Ok(ControlReply::NotLeader { leader }) => self.redirect(address, leader),
@@ -81,12 +81,12 @@
                     self.redirect(address, None);
                 }
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
     }
 }
 
-fn extra_wait_ms(request: &ControlRequest) -> u64 {
+fn min_attempt_ms(request: &ControlRequest) -> u64 {
     match request {
         ControlRequest::Permit(permit) => u64::from(permit.wait_ms) + 500,
         ControlRequest::Apply { .. } => 10_000,
@@ -94,7 +94,7 @@
     }
 }
 
-fn give_up(may_have_run: bool, timeout_ms: u64) -> Error {
+fn unanswered_error(may_have_run: bool, timeout_ms: u64) -> Error {
     if may_have_run {
         return Error::timeout("call control", "leader", timeout_ms);
     }
--- a/src/control/raft/mod.rs
+++ b/src/control/raft/mod.rs
@@ -40,10 +40,13 @@
     snapshot_term: u64,
     snapshot_members: Members,
     entries: VecDeque<Entry>,
+    /// Index of the last entry on disk.
     stable_index: u64,
     members: Members,
+    /// Index of the entry that holds `members`.
     members_index: u64,
     commit: u64,
+    /// Index of the last entry returned by [`Raft::take_output`] for applying.
     delivered_index: u64,
     role: Role,
     leader: Option<NodeId>,
--- a/src/control/registry.rs
+++ b/src/control/registry.rs
@@ -109,7 +109,7 @@
     }
 
     /// Records which endpoints got copies of weights.
-    pub fn note_copies(&mut self, copies: Vec<NewCopy>) {
+    pub fn record_copies(&mut self, copies: Vec<NewCopy>) {
         for NewCopy { endpoint, weights } in copies {
             if !self.endpoints.contains_key(&endpoint) {
                 continue;
--- a/src/control/replica/incarnations.rs
+++ b/src/control/replica/incarnations.rs
@@ -36,14 +36,14 @@
     /// Records a deregistration that arrived after the heartbeat with number `sequence`, if there
     /// was one.
     fn record_end(&mut self, id: &Arc<str>, sequence: Option<u64>) {
-        // A repeated deregistration was sent no later than the first one arrived.
+        // A repeated deregistration means the same moment as the first, so the first number is kept.
         if let (Some(sequence), false) = (sequence, self.0.contains_key(id)) {
             self.0.insert(id.clone(), sequence);
         }
     }
 
-    /// Records that an endpoint announced its stop: heartbeats without that announcement that
-    /// arrive later were sent earlier.
+    /// Records that an endpoint announced its stop. Heartbeats that arrive later without the
+    /// announcement were sent before it.
     pub(super) fn record_leaving(&mut self, id: &Arc<str>) {
         self.0.insert(id.clone(), ANNOUNCED_STOP);
     }
--- a/src/control/replica/mod.rs
+++ b/src/control/replica/mod.rs
@@ -65,12 +65,14 @@
     pub founding_wait_ms: u64,
 }
 
+/// Receiver of the outcome of a proposed entry.
 enum Waiter {
     Call(RpcReplyPort<ControlReply>),
     Register { session: u64 },
     NoReply,
 }
 
+/// A read that waits for a quorum round.
 enum Read {
     Renewals(Vec<Renewal>),
     Welcome { session: u64 },
@@ -91,6 +93,7 @@
     settings: ReplicaSettings,
     metrics: Metrics,
     leading: bool,
+    /// Waiters by log index, each with the term of the proposal.
     waiters: BTreeMap<u64, (u64, Waiter)>,
     renewals: Vec<Renewal>,
     renewal_round_due_ms: u64,
@@ -103,8 +106,10 @@
     summaries: Summaries,
     permits: Permits,
     permit_waiters: HashMap<u64, RpcReplyPort<ControlReply>>,
+    /// When each gateway last renewed its lease.
     renewed_at_ms: HashMap<Arc<str>, u64>,
     load_reports: HashMap<Arc<str>, u32>,
+    /// Consecutive polls that lacked most of the known endpoints.
     mass_removal_polls: u32,
     registered: Registered,
     terms: Terms,
@@ -321,7 +326,7 @@
         match request {
             ControlRequest::Probe => {}
             ControlRequest::Join { id, name, address } => {
-                self.join(id, Member { name, address, voter: false });
+                self.add_learner(id, Member { name, address, voter: false });
                 let _ = reply.send(ControlReply::Joining);
             }
             ControlRequest::Apply { documents, dry_run: true } => {
@@ -370,7 +375,7 @@
         }
     }
 
-    fn join(&mut self, id: u64, member: Member) {
+    fn add_learner(&mut self, id: u64, member: Member) {
         if self.raft.members().0.contains_key(&id) {
             return;
         }
@@ -438,7 +443,7 @@
     }
 
     /// Replaces the platform's load reports, which are hints and not kept in the log.
-    pub fn note_load_reports(&mut self, reports: Vec<LoadReport>) {
+    pub fn set_load_reports(&mut self, reports: Vec<LoadReport>) {
         self.load_reports.clear();
         for report in reports {
             self.load_reports.insert(report.endpoint, report.running);
--- a/src/control/server.rs
+++ b/src/control/server.rs
@@ -26,8 +26,8 @@
 use crate::wire::{Channel, Peer, Receiver, Sender};
 
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
-const LINK_QUEUE: usize = 4_096;
-const LINK_RETRY: Duration = Duration::from_millis(50);
+const LINK_QUEUE_SIZE: usize = 4_096;
+const LINK_RETRY_PAUSE: Duration = Duration::from_millis(50);
 const LINK_SEND_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause before a write to a full disk is retried.
 const DISK_FULL_PAUSE: Duration = Duration::from_millis(200);
@@ -164,7 +164,7 @@
             ReplicaMessage::Close(session) => state.replica.close(session),
             ReplicaMessage::Listed(listed, load_reports) => {
                 state.replica.listed(wall_ms(), listed);
-                state.replica.note_load_reports(load_reports);
+                state.replica.set_load_reports(load_reports);
             }
         }
         // One flush serves all messages queued before it, so that many share one sync.
@@ -343,7 +343,7 @@
     }
 
     fn open_link(&mut self, to: NodeId, address: SocketAddr) -> mpsc::Sender<PeerMessage> {
-        let (sender, receiver) = mpsc::channel(LINK_QUEUE);
+        let (sender, receiver) = mpsc::channel(LINK_QUEUE_SIZE);
         self.links.insert(to, (address, sender.clone()));
         tokio::spawn(run_link(address, receiver));
         sender
@@ -361,7 +361,7 @@
                 Ok(opened) => link = Some(opened),
                 Err(error) => {
                     debug!(event = "link_failed", peer = %address, error = %error);
-                    tokio::time::sleep(LINK_RETRY).await;
+                    tokio::time::sleep(LINK_RETRY_PAUSE).await;
                     continue;
                 }
             }
--- a/src/control/serving.rs
+++ b/src/control/serving.rs
@@ -20,7 +20,7 @@
 use crate::traffic;
 use crate::wire::{BoxFuture, Channel, Handler, Incoming, Receiver};
 
-const SESSION_QUEUE: usize = 512;
+const SESSION_QUEUE_SIZE: usize = 512;
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Startup stage of the process.
@@ -189,7 +189,7 @@
     let Some(SessionUp::Hello(hello)) = receiver.next().await? else {
         return Err(Error::refused("open session", "gateway", "the first message is no hello"));
     };
-    let (down, mut queue) = mpsc::channel(SESSION_QUEUE);
+    let (down, mut queue) = mpsc::channel(SESSION_QUEUE_SIZE);
     let writer = tokio::spawn(async move {
         while let Some(message) = queue.recv().await {
             let Ok(size_bytes) = sender.send(&message).await else { return };
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -190,7 +190,7 @@
                 (Outcome::Done, Vec::new())
             }
             Operation::NoteCopies(copies) => {
-                self.registry.note_copies(copies);
+                self.registry.record_copies(copies);
                 (Outcome::Done, Vec::new())
             }
             Operation::SetStandings(standings) => {
--- a/src/control/storage.rs
+++ b/src/control/storage.rs
@@ -261,7 +261,7 @@
             cut(path, offset)?;
             return Ok((bytes.len() - offset) as u64);
         };
-        reader.take(record, path)?;
+        reader.apply(record, path)?;
         offset += size;
     }
     Ok(0)
@@ -284,7 +284,7 @@
         Self { recovered, base, snapshot_term, replaced: false }
     }
 
-    fn take(&mut self, record: Record, path: &Path) -> Result<()> {
+    fn apply(&mut self, record: Record, path: &Path) -> Result<()> {
         let entry = match record {
             Record::HardState(hard_state) => {
                 self.recovered.hard_state = hard_state;
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -96,10 +96,10 @@
     registry.register(endpoint("one", 7_001));
     let name = |adapter| WeightsName::new("base", Some(adapter));
     let copy = |adapter| NewCopy { endpoint: "one".into(), weights: name(adapter) };
-    registry.note_copies(vec![copy("shop"), copy("mill")]);
+    registry.record_copies(vec![copy("shop"), copy("mill")]);
     registry.put_version(NewestVersion { name: name("shop"), version: 2 });
     assert_eq!(registry.copies()["one"], [name("mill")]);
-    registry.note_copies(vec![copy("shop")]);
+    registry.record_copies(vec![copy("shop")]);
     registry.put_version(NewestVersion { name: name("shop"), version: 2 });
     assert_eq!(registry.copies()["one"].len(), 2, "the same version replaces no copies");
 }
