--- a/src/control/boot.rs
+++ b/src/control/boot.rs
@@ -59,7 +59,7 @@
     };
     let mut opened = FileStorage::open(folder)?;
     if identity.started && opened.is_blank && opened.snapshot.is_none() {
-        let detail = "the log is missing although this replica has been part of a group; move the data folder \
+        let detail = "the log is missing though this replica has taken part; move the data folder \
                       away and start again to join as a new replica";
         return Err(Error::damaged("boot", folder.display().to_string(), detail));
     }
--- a/src/control/process.rs
+++ b/src/control/process.rs
@@ -74,7 +74,8 @@
         booted = boot::boot(&settings, &stage, clock, &metrics) => booted?,
         _ = terminate.recv() => return Ok(()),
     };
-    // Boxed because the replica is large and would otherwise be in the future several times.
+    // Boxed because the replica is large, and the future would hold it several times on its way to
+    // the actor.
     let running = Box::pin(start(&settings, booted, clock, metrics)).await?;
     let actor = running.replica.clone();
     *stage.write().unwrap_or_else(PoisonError::into_inner) = Stage::Running(running);
--- a/src/control/server.rs
+++ b/src/control/server.rs
@@ -306,9 +306,9 @@
         result
     }
 
-    /// Stops announcing this replica as the leader. It does nothing while its disk stalls, and
-    /// others elect a leader meanwhile: callers each waited 0.9 s in vain, and are now answered at
-    /// once.
+    /// Stops announcing this replica as the leader while its disk stalls: it does nothing
+    /// meanwhile, and others elect a leader. Without this, callers would each wait 0.9 s in vain
+    /// instead of being answered at once.
     fn withdraw_leadership(&mut self) {
         if self.leads.swap(false, Ordering::Relaxed) {
             warn!(event = "lead_doubted", reason = "the disk stalls");
--- a/src/control/serving.rs
+++ b/src/control/serving.rs
@@ -47,9 +47,9 @@
 }
 
 impl Running {
-    /// Sends a call to the replica while it leads; otherwise answers with the leader's address. A
-    /// replica whose disk stalls does nothing until the write completes, and callers waited for it
-    /// until they timed out.
+    /// Sends a call to the replica while it leads; otherwise answers with the leader's address.
+    /// Without this, callers of a follower whose disk stalls would wait until they time out, since
+    /// the replica does nothing until the write completes.
     pub async fn call(&self, request: ControlRequest, within: Duration) -> ControlReply {
         // A probe asks for this replica's own state.
         let is_for_leader = !matches!(request, ControlRequest::Probe);
--- a/src/control/storage.rs
+++ b/src/control/storage.rs
@@ -30,7 +30,7 @@
     pub id: NodeId,
     /// The members of the group at its founding; empty for a replica that joined later.
     pub founders: Members,
-    /// True once the replica may have voted; a missing log is then an error.
+    /// True once the replica may have voted; from then on a missing log is an error.
     pub started: bool,
 }
 
