--- a/src/control/raft/leading.rs
+++ b/src/control/raft/leading.rs
@@ -16,15 +16,19 @@
 /// A voter that has not replied for this long may be replaced by a learner that has caught up.
 const VOTER_SILENCE_MS: u64 = 1_500;
 
+/// What the leader knows of the log of another replica.
 #[derive(Debug)]
 pub(super) struct Progress {
+    /// Index up to which its log is known to match.
     pub(super) match_index: u64,
+    /// Index of the next entry to send.
     pub(super) next_index: u64,
     pub(super) acked_at_ms: u64,
     pub(super) acked_round: u64,
     pub(super) snapshot_sent_at_ms: Option<u64>,
 }
 
+/// State that a replica keeps only while it leads.
 #[derive(Debug)]
 pub(super) struct LeaderState {
     pub(super) progress: BTreeMap<NodeId, Progress>,
@@ -42,6 +46,7 @@
     pub(super) transfer_target: Option<NodeId>,
 }
 
+/// A read at `index` that waits until a quorum has answered `round`.
 #[derive(Debug)]
 pub(super) struct PendingRead {
     pub(super) token: u64,
--- a/src/control/session.rs
+++ b/src/control/session.rs
@@ -78,7 +78,7 @@
     /// The gateways of a distributor, with the time at which the last renewal of each was
     /// confirmed.
     members: BTreeMap<Arc<str>, u64>,
-    heard_at_ms: u64,
+    last_message_at_ms: u64,
     /// The load that it reports, by endpoint.
     pub loads: HashMap<Arc<str>, Load>,
     /// The load of all other gateways that it was last sent, by endpoint.
@@ -89,7 +89,7 @@
     /// Creates a session that sends to `down`.
     pub fn new(now_ms: u64, hello: SessionHello, down: mpsc::Sender<SessionDown>) -> Self {
         Self {
-            heard_at_ms: now_ms,
+            last_message_at_ms: now_ms,
             hello,
             epoch: None,
             down,
@@ -109,13 +109,13 @@
     /// endpoints are wrong when old.
     pub fn record_message(&mut self, now_ms: u64) -> bool {
         let is_silent = self.is_silent(now_ms);
-        self.heard_at_ms = now_ms;
+        self.last_message_at_ms = now_ms;
         !is_silent
     }
 
     /// True for a distributor that has been silent for too long.
     pub fn is_silent(&self, now_ms: u64) -> bool {
-        let silent_ms = now_ms.saturating_sub(self.heard_at_ms);
+        let silent_ms = now_ms.saturating_sub(self.last_message_at_ms);
         self.hello.role == SessionRole::Distributor && silent_ms >= MAX_DISTRIBUTOR_SILENCE_MS
     }
 
@@ -226,7 +226,7 @@
         reports: &HashMap<Arc<str>, u32>,
         state: &State,
     ) -> Vec<LoadReport> {
-        let mut unseen = Vec::new();
+        let mut changed = Vec::new();
         for (endpoint, running) in reports {
             let record = state.fleet.endpoints().get(endpoint);
             let owner = record.and_then(|record| record.owner.as_ref());
@@ -234,9 +234,9 @@
                 continue;
             }
             self.reports_sent.insert(endpoint.clone(), *running);
-            unseen.push(LoadReport { endpoint: endpoint.clone(), running: *running });
+            changed.push(LoadReport { endpoint: endpoint.clone(), running: *running });
         }
-        unseen
+        changed
     }
 
     /// Sends the load of all other gateways at each endpoint where it changed enough to affect
@@ -246,8 +246,8 @@
         for (endpoint, total) in totals {
             let own = self.loads.get(endpoint).copied().unwrap_or_default();
             let load = total.minus(own);
-            let told = self.loads_sent.get(endpoint).copied().unwrap_or_default();
-            if !counts::is_worth_telling(told, load) {
+            let sent = self.loads_sent.get(endpoint).copied().unwrap_or_default();
+            if !counts::is_worth_telling(sent, load) {
                 continue;
             }
             self.loads_sent.insert(endpoint.clone(), load);
