--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -49,11 +49,11 @@
 control="--test control_processes"
 
 mutate "votes only for an up-to-date log" $election 's/\(last_term, last_index\) >= own/true/' $random
-mutate "a vote is stored" $election 's/self\.hard\.vote = Some\(from\);\n\s*self\.hard_changed = true;/self.hard.vote = Some(from);/' --test raft
-mutate "a replica that hears a leader does not vote" $raft 's/Message::Vote \{ transfer, \.\. \} if !transfer \&\& self\.hears_leader\(now_ms\) => return,//' --test raft
+mutate "a vote is stored" $election 's/self\.hard_state\.vote = Some\(from\);\n\s*self\.hard_state_changed = true;/self.hard_state.vote = Some(from);/' --test raft
+mutate "a replica that hears a leader does not vote" $raft 's/Message::Vote \{ transfer, \.\. \} if !transfer \&\& self\.has_active_leader\(now_ms\) => return,//' --test raft
 mutate "a read waits for a majority round" $leading 's/if !self\.members\.has_quorum\(&confirmed\) \{\n\s*return;\n\s*\}//' $scripts control
 mutate "a leader that hears no majority steps down" $leading 's/if !self\.members\.has_quorum\(&heard\)/if false/' $scripts control
-mutate "the leader counts itself only once stored" $leading 's/indexes\.push\(self\.stable\)/indexes.push(self.last_index())/' --test raft
+mutate "the leader counts itself only once stored" $leading 's/indexes\.push\(self\.stable_index\)/indexes.push(self.last_index())/' --test raft
 mutate "a lost claimer leaves its claims unknown" $ledger 's/record\.state = RecordState::Unknown;\n\s*self\.settled\.push_back/self.settled.push_back/' $scripts control
 mutate "keys without a time are never forgotten" $ledger 's/RecordState::Finished\(answer\) => \*answer = None,/RecordState::Finished(_) => { self.records.remove(&key); }/' $scripts control
 mutate "a claim that is sent again is the same" $ledger 's/RecordState::Claimed \{ \.\. \} if record\.claim_id == claim\.claim_id => \{/RecordState::Claimed { .. } if false => {/' $scripts control
@@ -67,7 +67,7 @@
 mutate "a request counts on its own load only" $owner 's/\&\& slot\.generation == generation\n/\n/' $scripts owner
 mutate "queues are bounded" $owner 's/if self\.queue\.len\(\) < self\.settings\.queue_max \{/if true {/' $scripts owner
 mutate "a damaged middle is refused" src/control/storage.rs 's/if let Some\(next\) = find_record\(&bytes, offset \+ 1\) \{/if let Some(next) = None::<usize> {/' --test storage
-mutate "a replaced log is dropped" src/control/storage.rs 's/self\.replaced = entry\.term != self\.base_term;/self.replaced = false;/' --test storage
+mutate "a replaced log is dropped" src/control/storage.rs 's/self\.replaced = entry\.term != self\.snapshot_term;/self.replaced = false;/' --test storage
 mutate "a cut stream is not whole" src/gateway/stream.rs 's/self\.done \&\& self\.buffer\.is_empty\(\)/true/' --test streams
 mutate "the version must be the one named" src/gateway/stream.rs 's/ \&\& version\.parse\(\) == Ok\(adapter\.version\)//' --test streams
 mutate "a new leader waits for old permits" src/control/permit.rs 's/now_ms \+ self\.budget\.load_timeout_ms \};/now_ms };/' --test permits
@@ -95,15 +95,15 @@
 mutate "a version of unknown age bounds at once" src/relay/replaced.rs 's/if self\.version_due\(now_ms, name\) > held \{\n\s*return Some\(now_ms\);\n\s*\}//' --test renewed_versions
 incarnations=src/control/replica/incarnations.rs
 mutate "an incarnation has an id of its own" src/message/registration.rs 's/if born_ms == 0 \{ name\.into\(\) \}/if true { name.into() }/' --test restarts
-mutate "a heartbeat of an earlier incarnation is late" src/control/replica/registration.rs 's/ \|\| self\.is_of_earlier_life\(now_ms, &heartbeat\.endpoint\)//' --test restarts
+mutate "a heartbeat of an earlier incarnation is late" src/control/replica/registration.rs 's/ \|\| self\.is_from_earlier_incarnation\(now_ms, &heartbeat\.endpoint\)//' --test restarts
 mutate "a clock that jumped back keeps nobody away" $incarnations 's/endpoint\.born_ms == 0 \|\| !is_silent/true/' --test restarts
 mutate "an end right after a restart may be late" $incarnations 's/is_recent && !has_left/false/' --test restarts
 mutate "such an end stops new requests" $incarnations 's/RegisteredEndpoint \{ leaving: true, \.\.endpoint \}/endpoint/' --test restarts
-mutate "only a heartbeat from after the end takes it back" $incarnations 's/SENT_AFTER_END: u64 = 2/SENT_AFTER_END: u64 = 1/' --test restarts
-mutate "the next leader looks for a former incarnation" $incarnations 's/self\.state\.registry\.has_former_life\(known\)/false/' --test restarts
+mutate "only a heartbeat from after the end takes it back" $incarnations 's/MIN_SEQUENCE_GAP: u64 = 2/MIN_SEQUENCE_GAP: u64 = 1/' --test restarts
+mutate "the next leader looks for a former incarnation" $incarnations 's/self\.state\.registry\.has_former_incarnation\(known\)/false/' --test restarts
 mutate "an open order keeps the next holder waiting" src/control/placement/holders.rs 's/if self\.has_order_under_way\(\)/if false/' --test holders
 mutate "an order taken for lost may still come" src/control/placement/holders.rs 's/now_ms \+ LOST_ORDER_MS/now_ms/' --test holders
-mutate "a stalled disk leaves no lead" src/control/server.rs 's/self\.note_stalled\(\);//' --test stalled_disk
+mutate "a stalled disk leaves no lead" src/control/server.rs 's/self\.withdraw_leadership\(\);//' --test stalled_disk
 mutate "what was not written has not run" src/http.rs 's/if is_unsent\(&error\)/if false/; s/retry_canceled_requests\(true\)/retry_canceled_requests(false)/' --test http_client not_run
 mutate "what was not written goes out again" src/http.rs 's/retry_canceled_requests\(true\)/retry_canceled_requests(false)/' --test http_client
 mutate "a missed confirmation is waited for" src/gateway/lease.rs 's/CONFIRMATION_WAIT_MS: u64 = 500/CONFIRMATION_WAIT_MS: u64 = 0/' --test lease
