--- a/src/control/api.rs
+++ b/src/control/api.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, PoisonError, RwLock};
 use std::time::Duration;
 
-use crate::control::distribution::HeartbeatTaken;
+use crate::control::distribution::HeartbeatResult;
 use crate::control::serving::Stage;
 use crate::message::{ControlReply, ControlRequest};
 
@@ -45,7 +45,7 @@
             && !running.leads.load(Ordering::Relaxed)
         {
             let taken = running.distributor.heartbeat(heartbeat.clone()).await;
-            if let Some(HeartbeatTaken { taken: true, server }) = taken {
+            if let Some(HeartbeatResult { accepted: true, server }) = taken {
                 return CallOutcome::Answered(ControlReply::Heard { server });
             }
         }
--- a/src/control/counts.rs
+++ b/src/control/counts.rs
@@ -25,7 +25,7 @@
     }
 
     /// Takes what `session` tells of endpoints.
-    pub fn take(&mut self, session: &mut Session, loads: Vec<EndpointLoad>) {
+    pub fn update(&mut self, session: &mut Session, loads: Vec<EndpointLoad>) {
         for EndpointLoad { endpoint, load } in loads {
             self.changed.insert(endpoint.clone());
             session.loads.insert(endpoint, load);
@@ -33,17 +33,17 @@
     }
 
     /// Notes that an endpoint's count has changed elsewhere.
-    pub fn note(&mut self, endpoint: &Arc<str>) {
+    pub fn mark_changed(&mut self, endpoint: &Arc<str>) {
         self.changed.insert(endpoint.clone());
     }
 
     /// Forgets what a session that has ended told.
-    pub fn forget(&mut self, session: &Session) {
+    pub fn remove_session(&mut self, session: &Session) {
         self.changed.extend(session.loads.keys().cloned());
     }
 
     /// Adds everything up the next time, for a session that has just come.
-    pub fn tell_all(&mut self) {
+    pub fn mark_all_changed(&mut self) {
         self.all_due_ms = 0;
     }
 
--- a/src/control/distribution/link.rs
+++ b/src/control/distribution/link.rs
@@ -35,15 +35,15 @@
     Linked(mpsc::Sender<SessionUp>),
     Unlinked,
     Down(SessionDown),
-    Heartbeat(Heartbeat, oneshot::Sender<HeartbeatTaken>),
+    Heartbeat(Heartbeat, oneshot::Sender<HeartbeatResult>),
     Dump(oneshot::Sender<serde_json::Value>),
 }
 
 /// What became of a heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct HeartbeatTaken {
+pub struct HeartbeatResult {
     /// False when only the leader takes it.
-    pub taken: bool,
+    pub accepted: bool,
     /// The replica that takes the endpoint's next heartbeats best.
     pub server: Option<SocketAddr>,
 }
@@ -70,7 +70,7 @@
     }
 
     /// Takes a heartbeat in; none when the process is about to end.
-    pub async fn heartbeat(&self, heartbeat: Heartbeat) -> Option<HeartbeatTaken> {
+    pub async fn heartbeat(&self, heartbeat: Heartbeat) -> Option<HeartbeatResult> {
         let (reply, answer) = oneshot::channel();
         self.0.send(Message::Heartbeat(heartbeat, reply)).ok()?;
         answer.await.ok()
@@ -136,9 +136,9 @@
         Message::Down(down) => distributor.down(now_ms, down),
         Message::Heartbeat(heartbeat, reply) => {
             let server = distributor.server_of(&heartbeat.endpoint.zone);
-            let taken = distributor.heartbeat(heartbeat);
+            let accepted = distributor.heartbeat(heartbeat);
             // Nobody waits any more when the endpoint has gone elsewhere.
-            let _ = reply.send(HeartbeatTaken { taken, server });
+            let _ = reply.send(HeartbeatResult { accepted, server });
         }
         Message::Dump(reply) => {
             let _ = reply.send(distributor.dump());
--- a/src/control/distribution/mod.rs
+++ b/src/control/distribution/mod.rs
@@ -16,7 +16,7 @@
 use tokio::sync::mpsc;
 use tracing::{info, warn};
 
-pub use link::{DistributorHandle, HeartbeatTaken, hello, spawn};
+pub use link::{DistributorHandle, HeartbeatResult, hello, spawn};
 
 use crate::control::counts::Counts;
 use crate::control::session::Session;
@@ -127,7 +127,7 @@
     pub fn close(&mut self, id: u64) {
         if let Some(session) = self.sessions.remove(&id) {
             info!(event = "session_closed", gateway = %session.hello.name);
-            self.counts.forget(&session);
+            self.counts.remove_session(&session);
             self.credit.closed(&session.hello.name);
         }
     }
@@ -141,7 +141,7 @@
                 self.waiting.push(Waiting::Renewal { session: id, sent_at_ms });
             }
             SessionUp::Traffic { loads, used, failing } => {
-                self.counts.take(session, loads);
+                self.counts.update(session, loads);
                 if !used.is_empty() || !failing.is_empty() {
                     let up = SessionUp::Traffic { loads: Vec::new(), used, failing };
                     self.forwarded.push(Forwarded { gateway, up });
@@ -191,7 +191,7 @@
         self.unlinked_at_ms = None;
         self.incoming = Some(View::with_group(self.view.group.clone()));
         self.loads_told.clear();
-        self.counts.tell_all();
+        self.counts.mark_all_changed();
         self.renewed_at_ms = now_ms;
         self.credit.linked();
         self.ask_for_credit(now_ms);
@@ -223,7 +223,7 @@
             SessionDown::Placed { placed, .. } => self.place(placed),
             SessionDown::Loads(loads) => {
                 for load in &loads {
-                    self.counts.note(&load.endpoint);
+                    self.counts.mark_changed(&load.endpoint);
                 }
                 self.view.note_loads(loads);
             }
@@ -324,7 +324,7 @@
         let group = self.group_here();
         let Some(session) = self.sessions.get_mut(&id) else { return };
         session.epoch = Some(0);
-        self.counts.tell_all();
+        self.counts.mark_all_changed();
         let keeps_up = session.send(SessionDown::Welcome { epoch: 0 })
             && session.send_changes(0, true, &changes)
             && session.send(SessionDown::Placed { reset: true, placed })
--- a/src/control/placement/mod.rs
+++ b/src/control/placement/mod.rs
@@ -59,7 +59,7 @@
 
 /// The gateway that tells of a use.
 #[derive(Debug, Clone)]
-pub struct UseFrom {
+pub struct UsageSource {
     /// Its name.
     pub gateway: Arc<str>,
     /// Its availability zone.
@@ -265,7 +265,7 @@
     }
 
     /// Takes what a gateway in `zone` lacks.
-    pub fn need(&mut self, now_ms: u64, zone: &Arc<str>, needs: Vec<AdapterNeed>) {
+    pub fn note_needs(&mut self, now_ms: u64, zone: &Arc<str>, needs: Vec<AdapterNeed>) {
         for need in needs {
             self.demand.add(now_ms, &need.weights, f64::from(need.requests));
             let mut want = Want::further(now_ms, &need.weights, zone.clone());
@@ -280,7 +280,7 @@
     }
 
     /// Takes what a gateway used.
-    pub fn used(&mut self, now_ms: u64, from: &UseFrom, used: Vec<WeightsUse>) {
+    pub fn used(&mut self, now_ms: u64, from: &UsageSource, used: Vec<WeightsUse>) {
         for weights in used {
             if weights.requests > 0 {
                 self.demand.add(now_ms, &weights.name, f64::from(weights.requests));
@@ -305,12 +305,12 @@
     }
 
     /// True when gateways have something under way at the endpoint.
-    pub fn is_used(&self, id: &str) -> bool {
+    pub fn has_running_requests(&self, id: &str) -> bool {
         self.endpoints.get(id).is_some_and(|endpoint| endpoint.load.running > 0)
     }
 
     /// Notes endpoints that a gateway cannot reach.
-    pub fn failing(&mut self, now_ms: u64, endpoints: &[Arc<str>]) {
+    pub fn mark_endpoints_unreachable(&mut self, now_ms: u64, endpoints: &[Arc<str>]) {
         for id in endpoints {
             let Some(endpoint) = self.endpoints.get_mut(id) else { continue };
             info!(event = "endpoint_failing", endpoint = %id);
@@ -517,7 +517,7 @@
     }
 
     /// True when heartbeats of the endpoint come.
-    pub fn hears(&self, now_ms: u64, id: &str) -> bool {
+    pub fn is_endpoint_live(&self, now_ms: u64, id: &str) -> bool {
         self.endpoints.get(id).is_some_and(|endpoint| endpoint.is_live(now_ms))
     }
 
--- a/src/control/replica/incarnations.rs
+++ b/src/control/replica/incarnations.rs
@@ -141,7 +141,7 @@
             return false;
         }
         let Some(known) = registry.named(&endpoint.name) else { return false };
-        let is_silent = !self.registered.placement.hears(now_ms, &known.id);
+        let is_silent = !self.registered.placement.is_endpoint_live(now_ms, &known.id);
         known.born_ms > endpoint.born_ms && (endpoint.born_ms == 0 || !is_silent)
     }
 }
--- a/src/control/replica/registration.rs
+++ b/src/control/replica/registration.rs
@@ -11,7 +11,7 @@
 use super::standings::log_standing;
 use super::{Renewal, Replica, Waiter};
 use crate::control::counts::Counts;
-use crate::control::placement::{Placement, UseFrom};
+use crate::control::placement::{Placement, UsageSource};
 use crate::control::session::Session;
 use crate::control::state::Operation;
 use crate::message::{
@@ -318,7 +318,7 @@
         if !keeps_up {
             self.sessions.remove(&id);
         }
-        self.registered.counts.tell_all();
+        self.registered.counts.mark_all_changed();
     }
 
     /// The distributor that serves a gateway better than this leader does, if there is one.
@@ -339,7 +339,7 @@
     pub(super) fn follower_message(&mut self, now_ms: u64, wall_ms: u64, id: u64, up: SessionUp) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         let from =
-            UseFrom { gateway: session.hello.name.clone(), zone: session.hello.zone.clone() };
+            UsageSource { gateway: session.hello.name.clone(), zone: session.hello.zone.clone() };
         match up {
             SessionUp::Renew { sent_at_ms, .. } => {
                 self.renew(Renewal::Own { session: id, sent_at_ms });
@@ -349,12 +349,12 @@
             }
             SessionUp::Forwarded(forwarded) => {
                 for Forwarded { gateway, up } in forwarded {
-                    let from = UseFrom { gateway, zone: from.zone.clone() };
+                    let from = UsageSource { gateway, zone: from.zone.clone() };
                     self.gateway_message(now_ms, wall_ms, &from, up);
                 }
             }
             SessionUp::Traffic { loads, used, failing } => {
-                self.registered.counts.take(session, loads);
+                self.registered.counts.update(session, loads);
                 let up = SessionUp::Traffic { loads: Vec::new(), used, failing };
                 self.gateway_message(now_ms, wall_ms, &from, up);
             }
@@ -369,10 +369,10 @@
     }
 
     /// Takes what a gateway tells of adapters, on its own session or through a distributor.
-    fn gateway_message(&mut self, now_ms: u64, wall_ms: u64, from: &UseFrom, up: SessionUp) {
+    fn gateway_message(&mut self, now_ms: u64, wall_ms: u64, from: &UsageSource, up: SessionUp) {
         match up {
             SessionUp::Needs(needs) => {
-                self.registered.placement.need(now_ms, &from.zone, needs);
+                self.registered.placement.note_needs(now_ms, &from.zone, needs);
                 self.advance_placement(now_ms, wall_ms);
             }
             SessionUp::Ordered(result) => {
@@ -381,7 +381,7 @@
             }
             SessionUp::Traffic { used, failing, .. } => {
                 self.registered.placement.used(now_ms, from, used);
-                self.registered.placement.failing(now_ms, &failing);
+                self.registered.placement.mark_endpoints_unreachable(now_ms, &failing);
             }
             SessionUp::Crashes(crashes) => self.take_crashes(now_ms, wall_ms, crashes),
             SessionUp::Served(key) => {
--- a/src/control/replica/standings.rs
+++ b/src/control/replica/standings.rs
@@ -35,7 +35,8 @@
         for endpoint in self.state.registry.endpoints().values() {
             let serves = endpoint.service == crash.service && endpoint.id != crash.endpoint;
             let has_ended = self.registered.crashes.has_ended(&endpoint.id);
-            if serves && !has_ended && self.registered.placement.is_used(&endpoint.id) {
+            if serves && !has_ended && self.registered.placement.has_running_requests(&endpoint.id)
+            {
                 used += 1;
             }
         }
--- a/tests/counts.rs
+++ b/tests/counts.rs
@@ -33,11 +33,11 @@
 fn only_what_changed_is_added_up_between_full_rounds() {
     let mut counts = Counts::new();
     let mut sessions = [session(), session()];
-    counts.take(&mut sessions[0], vec![running("e1", 1), running("e2", 2)]);
-    counts.take(&mut sessions[1], vec![running("e1", 4)]);
+    counts.update(&mut sessions[0], vec![running("e1", 1), running("e2", 2)]);
+    counts.update(&mut sessions[1], vec![running("e1", 4)]);
     let all = BTreeMap::from([("e1".to_owned(), 5), ("e2".to_owned(), 2)]);
     assert_eq!(due(&mut counts, 0, &sessions), all);
-    counts.take(&mut sessions[1], vec![running("e1", 0)]);
+    counts.update(&mut sessions[1], vec![running("e1", 0)]);
     assert_eq!(due(&mut counts, 60, &sessions), BTreeMap::from([("e1".to_owned(), 1)]));
     assert!(due(&mut counts, 120, &sessions).is_empty());
     assert_eq!(due(&mut counts, 1_000, &sessions).len(), 2, "now and then everything is");
@@ -47,14 +47,14 @@
 fn what_an_ended_session_told_is_forgotten() {
     let mut counts = Counts::new();
     let mut sessions = vec![session(), session()];
-    counts.take(&mut sessions[1], vec![running("e1", 4)]);
+    counts.update(&mut sessions[1], vec![running("e1", 4)]);
     due(&mut counts, 0, &sessions);
     let ended = sessions.pop().expect("there are two");
-    counts.forget(&ended);
+    counts.remove_session(&ended);
     assert_eq!(due(&mut counts, 60, &sessions), BTreeMap::from([("e1".to_owned(), 0)]));
     // Also when nobody said that it had ended.
     let mut sessions = vec![session(), session()];
-    counts.take(&mut sessions[1], vec![running("e3", 4)]);
+    counts.update(&mut sessions[1], vec![running("e3", 4)]);
     due(&mut counts, 1_000, &sessions);
     sessions.pop();
     assert_eq!(due(&mut counts, 2_000, &sessions).get("e3"), Some(&0));
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -7,7 +7,7 @@
 use common::engines::configuration;
 use winchvane::control::placement::{
     EndpointPlaces, OrderHolder, OrderHolders, Placement, PlacementSettings, StoreAllowance,
-    StoreLimit, StoreLoad, UseFrom,
+    StoreLimit, StoreLoad, UsageSource,
 };
 use winchvane::message::{
     AdapterNeed, EngineOrder, EngineReport, Heartbeat, Holding, OrderKind, OrderOutcome,
@@ -85,12 +85,12 @@
             requests: 1,
             more: false,
         };
-        self.placement.need(self.now_ms, &"a".into(), vec![need]);
+        self.placement.note_needs(self.now_ms, &"a".into(), vec![need]);
     }
 
     /// The gateway tells of requests with an adapter: how many it sent, how many are under way.
     fn uses(&mut self, endpoint: &str, number: usize, requests: u32, under_way: u32) {
-        let from = UseFrom { gateway: "g1".into(), zone: "a".into() };
+        let from = UsageSource { gateway: "g1".into(), zone: "a".into() };
         let name = adapter(number);
         let reading_ms = requests * 100;
         let used = WeightsUse { endpoint: endpoint.into(), name, requests, reading_ms, under_way };
@@ -589,7 +589,7 @@
             leader.heartbeat("e1");
             leader.heartbeat("e2");
         }
-        let from = UseFrom { gateway: "g1".into(), zone: "a".into() };
+        let from = UsageSource { gateway: "g1".into(), zone: "a".into() };
         let used = WeightsUse {
             endpoint: "e1".into(),
             name: base.clone(),
