--- a/src/control/counts.rs
+++ b/src/control/counts.rs
@@ -38,7 +38,7 @@
     }
 
     /// Forgets what a session that has ended told.
-    pub fn remove_session(&mut self, session: &Session) {
+    pub fn mark_session_ended(&mut self, session: &Session) {
         self.changed.extend(session.loads.keys().cloned());
     }
 
--- a/src/control/distribution/mod.rs
+++ b/src/control/distribution/mod.rs
@@ -127,7 +127,7 @@
     pub fn close(&mut self, id: u64) {
         if let Some(session) = self.sessions.remove(&id) {
             info!(event = "session_closed", gateway = %session.hello.name);
-            self.counts.remove_session(&session);
+            self.counts.mark_session_ended(&session);
             self.credit.closed(&session.hello.name);
         }
     }
--- a/src/control/replica/sessions.rs
+++ b/src/control/replica/sessions.rs
@@ -131,7 +131,7 @@
     pub fn close(&mut self, session: u64) {
         if let Some(session) = self.sessions.remove(&session) {
             info!(event = "session_closed", gateway = %session.hello.name);
-            self.registered.counts.remove_session(&session);
+            self.registered.counts.mark_session_ended(&session);
         }
     }
 
--- a/tests/counts.rs
+++ b/tests/counts.rs
@@ -50,7 +50,7 @@
     counts.update(&mut sessions[1], vec![running("e1", 4)]);
     due(&mut counts, 0, &sessions);
     let ended = sessions.pop().expect("there are two");
-    counts.remove_session(&ended);
+    counts.mark_session_ended(&ended);
     assert_eq!(due(&mut counts, 60, &sessions), BTreeMap::from([("e1".to_owned(), 0)]));
     // Also when nobody said that it had ended.
     let mut sessions = vec![session(), session()];
