--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -101,7 +101,7 @@
 mutate "such an end stops new requests" $incarnations 's/RegisteredEndpoint \{ leaving: true, \.\.endpoint \}/endpoint/' --test restarts
 mutate "only a heartbeat from after the end takes it back" $incarnations 's/SENT_AFTER_END: u64 = 2/SENT_AFTER_END: u64 = 1/' --test restarts
 mutate "the next leader looks for a former incarnation" $incarnations 's/self\.state\.registry\.has_former_life\(known\)/false/' --test restarts
-mutate "an open order keeps the next holder waiting" src/control/placement/holders.rs 's/if self\.has_order_under_way\(\)/if false/' --test holders
+mutate "an open order keeps the next holder waiting" src/control/placement/holders.rs 's/if self\.has_pending_order\(\)/if false/' --test holders
 mutate "an order taken for lost may still come" src/control/placement/holders.rs 's/now_ms \+ LOST_ORDER_MS/now_ms/' --test holders
 mutate "a stalled disk leaves no lead" src/control/server.rs 's/self\.note_stalled\(\);//' --test stalled_disk
 mutate "what was not written has not run" src/http.rs 's/if is_unsent\(&error\)/if false/; s/retry_canceled_requests\(true\)/retry_canceled_requests(false)/' --test http_client not_run
--- a/src/control/placement/endpoint.rs
+++ b/src/control/placement/endpoint.rs
@@ -1,232 +1,236 @@
-//! What one endpoint holds and which order it is carrying out.
+//! The weights at one endpoint and the order that the endpoint is carrying out.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
 
 use super::demand::Demand;
-use super::holders::{OrderHolder, OrdersArrive};
-use super::{KEEP_USED_MS, SILENT_MS, USE_FORGOTTEN_MS};
+use super::holders::{OrderArrival, OrderHolder};
+use super::{HEARTBEAT_TIMEOUT_MS, USE_GRACE_MS, USE_TIMEOUT_MS};
 use crate::message::{
     Holding, Load, OrderKind, Placed, RegisteredEndpoint, WeightsName, WeightsUse,
 };
 use crate::routing::EngineSpec;
 
-/// Adapters that an endpoint is taken to have copies of, the latest ones; engines drop the copies
-/// that were unused for longest.
+/// How many local copies an endpoint is assumed to keep. Engines drop the least recently used
+/// copies first.
 pub const COPIES_MAX: usize = 90;
-/// How soon a load is looked at first; a load from an engine's own copy takes about this long.
+/// The delay before a load is first checked; a load from a local copy takes about this long.
 pub(super) const FIRST_CHECK_MS: u64 = 26;
-/// How often an unload that waits for its runs is looked at.
+/// How often an unload that waits for running requests is checked.
 const UNLOAD_CHECK_MS: u64 = 60;
-/// A load from the store is looked at this much sooner than one takes: if none were, a store that has
-/// become faster would never be noticed.
-const EARLY_LOOK: f64 = 0.85;
-/// An order that has no answer for this long is taken for lost; answers take a few milliseconds, or
-/// as many as a link across the region delays them.
-const OVERDUE_MS: u64 = 60;
-/// The share of an endpoint's slots beyond which further adapters go elsewhere first.
-const CROWDED: f64 = 0.65;
-/// Reading beyond which an endpoint counts as crowded: a good share of the shortest objectives.
-const CROWDED_MS: u32 = 150;
-/// How long an endpoint that a gateway cannot reach counts as no home; gateways try it again within
-/// this time.
-const FAILING_MS: u64 = 1_500;
-/// A report shows an endpoint as it was some time ago; after this pause it shows the last order.
+/// The first check of a load from the store comes after this share of its expected duration. With
+/// later checks only, a store that became faster would go unnoticed.
+const FIRST_CHECK_SHARE: f64 = 0.85;
+/// An order that is not accepted for this long counts as lost; answers take a few milliseconds,
+/// plus the latency of a link across the region.
+const ACCEPT_TIMEOUT_MS: u64 = 60;
+/// The share of busy slots from which an endpoint counts as crowded and further adapters prefer
+/// other endpoints.
+const CROWDED_SHARE: f64 = 0.65;
+/// The waiting prompt time from which an endpoint counts as crowded: a large share of the shortest
+/// latency objectives.
+const CROWDED_READING_MS: u32 = 150;
+/// How long an endpoint that a gateway cannot reach gets no new weights and does not count as a
+/// home; gateways retry the endpoint within this time.
+const UNREACHABLE_MS: u64 = 1_500;
+/// The maximum age of the state in a report; a report requested this long after an order reflects
+/// the order.
 pub(super) const REPORT_LAG_MS: u64 = 260;
-/// A heartbeat may have been sent this long before it arrives; younger knowledge goes before it.
-pub(super) const HEARTBEAT_LATE_MS: u64 = 3_000;
+/// The maximum age of a heartbeat on arrival; changes more recent than this override the heartbeat.
+pub(super) const HEARTBEAT_MAX_AGE_MS: u64 = 3_000;
 
-/// The state of a place.
+/// The state of weights at an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlaceState {
-    /// Ordered and not seen yet.
+    /// Ordered to load, not yet confirmed as loaded.
     Loading {
-        /// When to look.
+        /// When to check the load next.
         check_at_ms: u64,
-        /// The pause before the look after that.
+        /// The pause between that check and the following one.
         pause_ms: u64,
     },
-    /// Requests may use it.
+    /// Loaded; requests may use the weights.
     Ready,
-    /// Ordered away.
+    /// Ordered to unload.
     Unloading,
 }
 
-/// Weights at an endpoint.
+/// A base model or adapter at an endpoint, from the order to load until the end of the unload.
 #[derive(Debug, Clone)]
 pub struct Place {
-    /// The version.
+    /// The version of the weights.
     pub version: u64,
-    /// The state.
+    /// The current state.
     pub state: PlaceState,
-    /// True while it comes from the weight store, not from the endpoint's own copies.
+    /// True when loaded from the weight store rather than from a local copy.
     pub from_store: bool,
-    /// How many loads from the store were on their way when this one was ordered, itself included.
-    pub(super) beside_at_start: usize,
-    /// True once an order for it got no answer: it may have begun at any time since.
+    /// Concurrent loads from the store when this one was ordered, including itself.
+    pub(super) concurrent_at_start: usize,
+    /// True once an order for these weights got no answer: the load may have started at any time
+    /// since.
     pub(super) unanswered: bool,
-    /// True once the endpoint said that it takes the order to load them.
+    /// True once the endpoint accepted the order to load or unload.
     pub(super) accepted: bool,
     pub(super) changed_at_ms: u64,
     used_at_ms: u64,
-    /// The gateways that have requests under way with it, and when they said so last.
+    /// Gateways with running requests for the weights, and when each last reported them.
     users: BTreeMap<Arc<str>, u64>,
 }
 
 impl Place {
-    /// True while requests use it, or may be on their way to it.
+    /// True while requests use the weights or may be on their way to them.
     fn is_in_use(&self, now_ms: u64) -> bool {
-        self.used_at_ms + KEEP_USED_MS > now_ms
-            || self.users.values().any(|told_at_ms| told_at_ms + USE_FORGOTTEN_MS > now_ms)
+        self.used_at_ms + USE_GRACE_MS > now_ms
+            || self.users.values().any(|reported_at_ms| reported_at_ms + USE_TIMEOUT_MS > now_ms)
     }
 
     /// True for a load that was ordered a while ago and not accepted: the answer is lost, and the
     /// order may be carried out late or never.
     pub fn is_overdue(&self, now_ms: u64) -> bool {
-        !self.accepted && self.changed_at_ms + OVERDUE_MS <= now_ms
+        !self.accepted && self.changed_at_ms + ACCEPT_TIMEOUT_MS <= now_ms
     }
 }
 
-/// What is expected of a load from the weight store.
+/// The expected conditions of a load from the weight store.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct StoreLoad {
-    /// How long it takes when nothing slows it.
+    /// The duration of a load without contention.
     pub expected_ms: u64,
-    /// How many loads are on their way with it, itself included.
-    pub beside: usize,
+    /// Concurrent loads from the store, including this one.
+    pub concurrent: usize,
 }
 
 #[derive(Debug, Clone)]
-pub(super) struct Pending {
+pub(super) struct PendingOrder {
     pub(super) number: u64,
     pub(super) kind: OrderKind,
-    pub(super) given_at_ms: u64,
-    /// True for a load that is ordered once more to see whether it is done; engines take it for
-    /// the same order.
-    pub(super) repeats: bool,
+    pub(super) issued_at_ms: u64,
+    /// True for a load or unload order that is sent again to check for completion; engines treat
+    /// the repeat as the same order.
+    pub(super) is_repeat: bool,
 }
 
-/// One endpoint.
+/// The state of one endpoint, as known to the leader.
 #[derive(Debug, Clone)]
-pub struct EndpointPlaces {
-    /// Its registration.
+pub struct EndpointState {
+    /// The registration.
     pub endpoint: RegisteredEndpoint,
-    /// When its last heartbeat came.
-    pub heard_at_ms: u64,
-    /// Base models and adapters.
+    /// When the last heartbeat arrived.
+    pub heartbeat_at_ms: u64,
+    /// The base models and adapters, by name.
     pub places: BTreeMap<WeightsName, Place>,
-    /// What all gateways together have under way there.
+    /// The load of all gateways together.
     pub load: Load,
-    /// Orders it has taken; none until a report told.
+    /// The number of orders that the endpoint has accepted; `None` while only a report can tell.
     pub sequence: Option<u64>,
-    /// Weights of which it has copies, with when they were ordered last.
+    /// Weights with a local copy at the endpoint, and when each was last ordered.
     pub copies: HashMap<WeightsName, u64>,
-    /// Through whom it can be ordered now.
+    /// The gateway that may send orders now.
     pub(super) holder: Option<OrderHolder>,
-    pub(super) orders_arrive: OrdersArrive,
+    pub(super) order_arrival: OrderArrival,
     hash: u64,
-    pub(super) pending: Option<Pending>,
-    pub(super) report_from_ms: u64,
-    pub(super) again_from_ms: u64,
-    failing_until_ms: u64,
-    pub(super) dropped_at_ms: BTreeMap<WeightsName, u64>,
+    pub(super) pending: Option<PendingOrder>,
+    pub(super) report_due_ms: u64,
+    pub(super) orders_from_ms: u64,
+    unreachable_until_ms: u64,
+    pub(super) unloaded_at_ms: BTreeMap<WeightsName, u64>,
 }
 
-impl EndpointPlaces {
-    /// An endpoint of which nothing is known but its registration.
+impl EndpointState {
+    /// Creates the state of an endpoint of which only the registration is known.
     pub fn new(now_ms: u64, endpoint: RegisteredEndpoint) -> Self {
         let hash = crate::hash::stable(&endpoint.address.to_string());
         Self {
             endpoint,
             hash,
-            heard_at_ms: now_ms,
+            heartbeat_at_ms: now_ms,
             places: BTreeMap::new(),
             load: Load::default(),
             sequence: None,
             copies: HashMap::new(),
             holder: None,
-            orders_arrive: OrdersArrive::new(now_ms),
+            order_arrival: OrderArrival::new(now_ms),
             pending: None,
-            report_from_ms: 0,
-            again_from_ms: 0,
-            failing_until_ms: 0,
-            dropped_at_ms: BTreeMap::new(),
+            report_due_ms: 0,
+            orders_from_ms: 0,
+            unreachable_until_ms: 0,
+            unloaded_at_ms: BTreeMap::new(),
         }
     }
 
-    /// How well it fits weights with this hash; by address, so that an endpoint that restarted
-    /// finds its own copies.
+    /// The affinity to weights with the given hash. Depends on the address only, so that a
+    /// restarted endpoint gets the weights of which it has copies.
     pub fn affinity(&self, hash: u64) -> u64 {
         crate::hash::affinity(self.hash, hash)
     }
 
-    /// True when its heartbeats come.
+    /// True while heartbeats arrive.
     pub fn is_live(&self, now_ms: u64) -> bool {
-        self.heard_at_ms + SILENT_MS > now_ms
+        self.heartbeat_at_ms + HEARTBEAT_TIMEOUT_MS > now_ms
     }
 
-    /// True when it may hold further weights.
-    pub fn takes_weights(&self, now_ms: u64) -> bool {
-        self.is_live(now_ms) && !self.endpoint.leaving && self.failing_until_ms <= now_ms
+    /// True when the endpoint may be given further weights.
+    pub fn accepts_weights(&self, now_ms: u64) -> bool {
+        self.is_live(now_ms) && !self.endpoint.leaving && self.unreachable_until_ms <= now_ms
     }
 
-    /// True when too much runs or waits for another adapter's requests.
+    /// True when running or waiting requests leave too little capacity for another adapter.
     pub fn is_crowded(&self) -> bool {
-        f64::from(self.load.running) >= f64::from(self.endpoint.slots) * CROWDED
-            || self.load.waiting_ms >= CROWDED_MS
+        f64::from(self.load.running) >= f64::from(self.endpoint.slots) * CROWDED_SHARE
+            || self.load.waiting_ms >= CROWDED_READING_MS
     }
 
-    /// True when every slot is taken.
+    /// True when all slots are taken.
     pub fn is_full(&self) -> bool {
         self.load.running >= self.endpoint.slots
     }
 
-    /// True while the outcome of an order is awaited.
-    pub(super) fn has_order_under_way(&self) -> bool {
+    /// True while the outcome of an order is pending.
+    pub(super) fn has_pending_order(&self) -> bool {
         self.pending.is_some()
     }
 
-    /// True when an order may be given now.
+    /// True when an order may be sent now.
     pub fn is_free_for_orders(&self, now_ms: u64) -> bool {
         self.pending.is_none()
             && self.holder.is_some()
             && self.sequence.is_some()
-            && self.again_from_ms <= now_ms
+            && self.orders_from_ms <= now_ms
     }
 
-    /// True when a report has to tell what the endpoint holds.
+    /// True when the endpoint must report its weights before it gets other orders.
     pub fn needs_report(&self, now_ms: u64) -> bool {
         self.pending.is_none()
             && self.holder.is_some()
             && self.is_live(now_ms)
-            && now_ms >= self.report_from_ms
+            && now_ms >= self.report_due_ms
             && self.sequence.is_none()
     }
 
-    /// True when the base model of `name` is ready here.
+    /// True when the base model of `name` is loaded.
     pub fn holds_base(&self, name: &WeightsName) -> bool {
         self.places.get(&name.base()).is_some_and(|place| place.state == PlaceState::Ready)
     }
 
-    /// Takes over that the endpoint has copies of `weights`, the latest last.
+    /// Records copies of `weights` at the endpoint, oldest first.
     pub(super) fn remember_copies(&mut self, now_ms: u64, weights: &VecDeque<WeightsName>) {
         for name in weights {
-            self.note_copy(now_ms, name);
+            self.record_copy(now_ms, name);
         }
     }
 
-    /// True when the endpoint has a copy of `name` at hand.
+    /// True when the endpoint has a local copy of `name`.
     pub fn has_copy(&self, name: &WeightsName) -> bool {
         self.copies.contains_key(name)
     }
 
-    /// How many adapters are here, those on their way and those not gone yet included.
+    /// The number of adapters, including those being loaded or unloaded.
     pub fn adapters(&self) -> usize {
         self.places.keys().filter(|name| name.adapter.is_some()).count()
     }
 
-    /// How many adapters are on their way from the weight store.
-    pub fn coming_from_store(&self, now_ms: u64) -> usize {
+    /// The number of weights being loaded from the weight store; overdue orders are not counted.
+    pub fn loading_from_store(&self, now_ms: u64) -> usize {
         let mut coming = 0;
         for place in self.places.values() {
             let is_loading = matches!(place.state, PlaceState::Loading { .. });
@@ -235,12 +239,12 @@
         coming
     }
 
-    /// True while anything is on its way here.
+    /// True while any weights are being loaded.
     pub fn is_loading_any(&self) -> bool {
         self.places.values().any(|place| matches!(place.state, PlaceState::Loading { .. }))
     }
 
-    /// How many adapters are on their way here.
+    /// The number of adapters being loaded.
     pub fn coming(&self) -> usize {
         let mut coming = 0;
         for (name, place) in &self.places {
@@ -251,7 +255,8 @@
         coming
     }
 
-    /// Notes what a gateway uses here; an old version is on its way out and no longer counts.
+    /// Records a use reported by a gateway. Uses of replaced versions are ignored, since these are
+    /// about to be unloaded.
     pub fn note_use(&mut self, now_ms: u64, gateway: &Arc<str>, weights: &WeightsUse, newest: u64) {
         let Some(place) = self.places.get_mut(&weights.name) else { return };
         if place.version < newest {
@@ -265,7 +270,7 @@
         }
     }
 
-    /// The room that weights take here, those on their way and those not gone yet included.
+    /// The memory taken by all weights, including those being loaded or unloaded.
     pub fn used_mb(&self, engine: &EngineSpec) -> f64 {
         let mut used_mb = 0.0;
         for name in self.places.keys() {
@@ -274,32 +279,32 @@
         used_mb
     }
 
-    /// The base model that is asked for least among those that nobody used just now.
-    pub fn coldest_model(&self, now_ms: u64, demand: &Demand) -> Option<(WeightsName, f64)> {
-        let mut coldest: Option<(WeightsName, f64)> = None;
+    /// The base model with the lowest demand among those not in use.
+    pub fn least_demanded_model(&self, now_ms: u64, demand: &Demand) -> Option<(WeightsName, f64)> {
+        let mut least_demanded: Option<(WeightsName, f64)> = None;
         for (name, place) in &self.places {
             let is_idle = name.adapter.is_none() && place.state == PlaceState::Ready;
             if !is_idle || self.is_model_used(now_ms, name) {
                 continue;
             }
             let own = demand.rate(now_ms, name);
-            if coldest.as_ref().is_none_or(|(_, known)| own < *known) {
-                coldest = Some((name.clone(), own));
+            if least_demanded.as_ref().is_none_or(|(_, known)| own < *known) {
+                least_demanded = Some((name.clone(), own));
             }
         }
-        coldest
+        least_demanded
     }
 
     fn is_model_used(&self, now_ms: u64, model: &WeightsName) -> bool {
         self.places.iter().any(|(name, place)| name.model == model.model && place.is_in_use(now_ms))
     }
 
-    /// The adapter that is asked for least among those that nobody used just now.
+    /// The adapter with the lowest demand among those not in use.
     ///
-    /// One that is asked for again soon comes back from the endpoint's own copy, which takes less
-    /// time than a client waits.
-    pub fn coldest(&self, now_ms: u64, demand: &Demand) -> Option<WeightsName> {
-        let mut coldest: Option<(f64, &WeightsName)> = None;
+    /// If the adapter is requested again soon, the endpoint reloads it from its local copy, which
+    /// takes less time than clients wait.
+    pub fn least_demanded_adapter(&self, now_ms: u64, demand: &Demand) -> Option<WeightsName> {
+        let mut least_demanded: Option<(f64, &WeightsName)> = None;
         for (name, place) in &self.places {
             let is_idle = place.state == PlaceState::Ready
                 && !place.is_in_use(now_ms)
@@ -308,14 +313,14 @@
                 continue;
             }
             let own = demand.rate(now_ms, name);
-            if coldest.is_none_or(|(known, _)| own < known) {
-                coldest = Some((own, name));
+            if least_demanded.is_none_or(|(known, _)| own < known) {
+                least_demanded = Some((own, name));
             }
         }
-        coldest.map(|(_, name)| name.clone())
+        least_demanded.map(|(_, name)| name.clone())
     }
 
-    /// An unload whose outcome is not known.
+    /// An unload whose completion is due to be checked.
     pub fn unload_to_repeat(&self, now_ms: u64) -> Option<WeightsName> {
         if !self.is_free_for_orders(now_ms) {
             return None;
@@ -326,12 +331,12 @@
         unloading.map(|(name, _)| name.clone())
     }
 
-    /// Notes that a gateway cannot reach the endpoint.
-    pub fn note_failing(&mut self, now_ms: u64) {
-        self.failing_until_ms = now_ms + FAILING_MS;
+    /// Records that a gateway cannot reach the endpoint.
+    pub fn mark_unreachable(&mut self, now_ms: u64) {
+        self.unreachable_until_ms = now_ms + UNREACHABLE_MS;
     }
 
-    /// A load that should be looked at now.
+    /// A load whose completion is due to be checked.
     pub fn load_to_check(&self, now_ms: u64) -> Option<WeightsName> {
         if !self.is_free_for_orders(now_ms) {
             return None;
@@ -346,7 +351,7 @@
         None
     }
 
-    /// Notes an order that is about to be sent.
+    /// Applies an order that is about to be sent.
     pub fn start_order(
         &mut self,
         now_ms: u64,
@@ -355,7 +360,7 @@
         store: StoreLoad,
         placed: &mut Vec<Placed>,
     ) {
-        let (is_known, repeats) = match kind {
+        let (is_known, is_repeat) = match kind {
             OrderKind::Load { name, .. } => {
                 let is_loading = self.is_loading(name);
                 (is_loading, is_loading && self.is_accepted(name))
@@ -366,29 +371,31 @@
             }
             OrderKind::Report => (false, false),
         };
-        self.pending = Some(Pending { number, kind: kind.clone(), given_at_ms: now_ms, repeats });
+        self.pending =
+            Some(PendingOrder { number, kind: kind.clone(), issued_at_ms: now_ms, is_repeat });
         match kind {
             OrderKind::Report => {}
             OrderKind::Load { name, version } => {
                 let version = version.unwrap_or(1);
                 if is_known {
-                    // A look after a renewal asks for the newer version, which is then what is held.
+                    // A check after a new version was published asks for that version, which the
+                    // endpoint then holds.
                     if let Some(place) = self.places.get_mut(name) {
                         place.version = place.version.max(version);
                     }
                     return;
                 }
-                placed.push(self.tell(name, Holding::Coming));
+                placed.push(self.to_placed(name, Holding::Coming));
                 let from_store = !self.has_copy(name);
-                self.note_copy(now_ms, name);
-                let early_ms = (store.expected_ms as f64 * EARLY_LOOK) as u64;
+                self.record_copy(now_ms, name);
+                let early_ms = (store.expected_ms as f64 * FIRST_CHECK_SHARE) as u64;
                 let expected_ms = if from_store { early_ms } else { 0 };
                 let pause_ms = FIRST_CHECK_MS.max(expected_ms);
                 let state = PlaceState::Loading { check_at_ms: u64::MAX, pause_ms };
-                self.put(now_ms, name, version, state);
+                self.set_state(now_ms, name, version, state);
                 if let Some(place) = self.places.get_mut(name) {
                     place.from_store = from_store;
-                    place.beside_at_start = store.beside;
+                    place.concurrent_at_start = store.concurrent;
                 }
             }
             OrderKind::Unload { name } => {
@@ -397,20 +404,26 @@
                 }
                 let version = self.places.get(name).map_or(1, |place| place.version);
                 for gone in self.with_adapters(name) {
-                    placed.push(self.tell(&gone, Holding::Gone));
+                    placed.push(self.to_placed(&gone, Holding::Gone));
                 }
-                self.put(now_ms, name, version, PlaceState::Unloading);
+                self.set_state(now_ms, name, version, PlaceState::Unloading);
             }
         }
     }
 
-    pub(super) fn put(&mut self, now_ms: u64, name: &WeightsName, version: u64, state: PlaceState) {
+    pub(super) fn set_state(
+        &mut self,
+        now_ms: u64,
+        name: &WeightsName,
+        version: u64,
+        state: PlaceState,
+    ) {
         let used_at_ms = now_ms;
         let place = Place {
             version,
             state,
             from_store: false,
-            beside_at_start: 0,
+            concurrent_at_start: 0,
             unanswered: false,
             accepted: false,
             changed_at_ms: now_ms,
@@ -420,7 +433,7 @@
         self.places.insert(name.clone(), place);
     }
 
-    pub(super) fn note_copy(&mut self, now_ms: u64, name: &WeightsName) {
+    pub(super) fn record_copy(&mut self, now_ms: u64, name: &WeightsName) {
         self.copies.insert(name.clone(), now_ms);
         if self.copies.len() <= COPIES_MAX {
             return;
@@ -431,7 +444,7 @@
         }
     }
 
-    /// The weights that go with `name`: a base model's adapters go with it.
+    /// Returns `name` and, for a base model, its adapters, which are unloaded with it.
     pub(super) fn with_adapters(&self, name: &WeightsName) -> Vec<WeightsName> {
         let mut names = vec![name.clone()];
         if name.adapter.is_some() {
@@ -457,7 +470,7 @@
         self.places.get(name).is_some_and(|place| matches!(place.state, PlaceState::Loading { .. }))
     }
 
-    pub(super) fn tell(&self, name: &WeightsName, holding: Holding) -> Placed {
+    pub(super) fn to_placed(&self, name: &WeightsName, holding: Holding) -> Placed {
         Placed { endpoint: self.endpoint.id.clone(), name: name.clone(), holding }
     }
 }
--- a/src/control/placement/mod.rs
+++ b/src/control/placement/mod.rs
@@ -1,9 +1,12 @@
-//! Which endpoints hold which weights: what the leader of control knows, wants and orders.
+//! Decides which weights (base models and adapters) each inference endpoint loads and unloads.
 //!
-//! The leader decides; the gateway that holds an endpoint gives it its orders, one at a time. What
-//! endpoints hold is learnt from their heartbeats, their reports and the outcome of orders, so a new
-//! leader needs nothing of the earlier one. An adapter has its home at the endpoint that a hash of
-//! both puts first, so that each endpoint meets few adapters and finds them in its own copies.
+//! The elected leader decides; the gateway that holds an endpoint (its order holder) sends it the
+//! leader's orders, one at a time. The leader learns what endpoints hold from their heartbeats,
+//! their reports and the outcomes of orders, so a new leader needs no state from the previous one.
+//!
+//! An endpoint that holds weights is a *home* of these weights. An adapter prefers the endpoint
+//! that ranks first by a hash of both, so that each endpoint serves few adapters and reloads them
+//! from its local copies instead of the weight store.
 
 mod demand;
 mod endpoint;
@@ -20,11 +23,11 @@
 use serde::{Deserialize, Serialize};
 use tracing::info;
 
-pub use demand::{Demand, StoreAllowance};
-pub use endpoint::{COPIES_MAX, EndpointPlaces, Place, PlaceState, StoreLoad};
+pub use demand::{Demand, StoreRateLimit};
+pub use endpoint::{COPIES_MAX, EndpointState, Place, PlaceState, StoreLoad};
 pub use holders::{HolderChoice, OrderHolder, OrderHolders};
-pub use outcome::StoreLoadDone;
-pub use store_limit::StoreLimit;
+pub use outcome::CompletedStoreLoad;
+pub use store_limit::StoreConcurrencyLimit;
 
 use crate::message::{
     AdapterNeed, EngineOrder, Heartbeat, Holding, Load, OrderKind, OrderResult, Placed,
@@ -32,50 +35,50 @@
 };
 use crate::policy::versions::{HELD_PERCENT, Versions};
 use crate::routing::{EngineSpec, RoutingConfiguration};
-use holders::HolderWatch;
-
-/// An endpoint that said nothing for this long gets no new adapters: twice the usual period of
-/// heartbeats and a second for one that is late.
-const SILENT_MS: u64 = 4_000;
-/// The shortest time between two passes.
-const PASS_MS: u64 = 5;
-/// Endpoints for each millisecond between two passes: a pass looks at all of them.
+use holders::GatewayTracker;
+
+/// Endpoints without a heartbeat for this long get no new weights: two heartbeat periods plus one
+/// second for a late one.
+const HEARTBEAT_TIMEOUT_MS: u64 = 4_000;
+/// The minimum time between two placement passes.
+const PASS_INTERVAL_MIN_MS: u64 = 5;
+/// The number of endpoints for which passes have to be 1 ms apart: a pass scans all endpoints.
 const ENDPOINTS_PER_PASS_MS: u64 = 75;
-/// A place that was used this recently is not given to another adapter: a request that is being sent
-/// there is told of within this time.
-const KEEP_USED_MS: u64 = 250;
-/// A use that its gateway did not mention again in this time has ended with the gateway; it mentions
-/// everything once a second.
-const USE_FORGOTTEN_MS: u64 = 2_500;
-
-/// An endpoint that got a copy of weights.
+/// Weights used this recently are not evicted: a request that is on its way to the endpoint is
+/// reported within this time.
+const USE_GRACE_MS: u64 = 250;
+/// A use that its gateway did not repeat within this time ended with the gateway; gateways repeat
+/// every use once a second.
+const USE_TIMEOUT_MS: u64 = 2_500;
+
+/// A new local copy of weights at an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NewCopy {
-    /// The endpoint's id.
+    /// The endpoint's ID.
     pub endpoint: Arc<str>,
-    /// The weights.
+    /// The copied weights.
     pub weights: WeightsName,
 }
 
-/// The gateway that tells of a use.
+/// The gateway that reported a use of weights.
 #[derive(Debug, Clone)]
 pub struct UsageSource {
-    /// Its name.
+    /// The gateway's name.
     pub gateway: Arc<str>,
-    /// Its availability zone.
+    /// The gateway's availability zone.
     pub zone: Arc<str>,
 }
 
-/// Bounds of orders.
+/// Limits on the orders that the leader gives.
 #[derive(Debug, Clone, Copy)]
 pub struct PlacementSettings {
-    /// How long the orders of a gateway may still count after it gave them.
+    /// The engines' order lease: how long orders of one gateway may take effect after it sent them.
     pub order_lease_ms: u64,
     /// How long after a version of weights was replaced requests may begin on it.
     pub version_within_ms: u64,
-    /// The share of the weight store's rate that is used.
+    /// The share of the weight store's load rate that the leader uses.
     pub store_share: f64,
-    /// Requests within a short time that justify a load from the weight store.
+    /// The recent requests that weights need before they are loaded from the weight store.
     pub store_load_min_requests: f64,
 }
 
@@ -90,38 +93,38 @@
     }
 }
 
-/// Weights that gateways asked for.
+/// A request of gateways for one more home of some weights.
 #[derive(Debug, Clone)]
-struct Want {
-    /// When they were last asked for.
+struct PlacementRequest {
+    /// The time of the latest request.
     asked_at_ms: u64,
-    /// Since when they are asked for.
-    since_ms: u64,
-    /// The hash that finds their home among endpoints.
+    /// The time of the first request.
+    first_asked_at_ms: u64,
+    /// The hash of the weights, which ranks endpoints by affinity.
     hash: u64,
-    /// True when the endpoints that hold them are full.
-    more: bool,
-    /// True when some endpoint holds them already.
-    is_further: bool,
+    /// True when all homes of the weights are at capacity.
+    homes_are_full: bool,
+    /// True when the weights already have a home.
+    is_additional: bool,
     /// The availability zone of the gateway that asked last.
     zone: Arc<str>,
 }
 
-impl Want {
-    /// A further home for `name`, asked for in `zone`.
-    fn further(now_ms: u64, name: &WeightsName, zone: Arc<str>) -> Self {
+impl PlacementRequest {
+    /// A request for an additional home of `name`, made in `zone`.
+    fn additional(now_ms: u64, name: &WeightsName, zone: Arc<str>) -> Self {
         Self {
             asked_at_ms: now_ms,
-            since_ms: now_ms,
+            first_asked_at_ms: now_ms,
             hash: crate::hash::stable(&name.to_string()),
-            more: false,
-            is_further: true,
+            homes_are_full: false,
+            is_additional: true,
             zone,
         }
     }
 }
 
-/// Why wants of a pass are still open.
+/// Counts, by reason, of placement requests that a pass left open.
 #[derive(Debug, Clone, Copy, Default)]
 struct OpenWants {
     on_their_way: usize,
@@ -131,78 +134,78 @@
     no_victim: usize,
 }
 
-/// What the leader knows and wants of the weights on endpoints.
+/// The leader's record of the weights on all endpoints, and the orders it derives from that record.
 pub struct Placement {
     settings: PlacementSettings,
-    holder_watch: HolderWatch,
-    endpoints: BTreeMap<Arc<str>, EndpointPlaces>,
+    gateway_tracker: GatewayTracker,
+    endpoints: BTreeMap<Arc<str>, EndpointState>,
     engines: HashMap<Arc<str>, EngineSpec>,
     versions: Versions,
-    /// Where the next look for older versions begins.
-    looked_until: Option<Arc<str>>,
-    looked_at_ms: u64,
-    /// Endpoints at which the last look found replaced versions.
+    /// The endpoint after which the next scan for replaced versions continues.
+    scan_cursor: Option<Arc<str>>,
+    scanned_at_ms: u64,
+    /// Endpoints where the latest scan found replaced versions.
     outdated: BTreeSet<Arc<str>>,
     /// Weights of which some endpoint may hold a version older than the newest.
     renewed: HashSet<WeightsName>,
-    /// Requests.
+    /// The demand in requests, by weights.
     demand: Demand,
-    /// Milliseconds that endpoints spend on reading prompts.
-    reading: Demand,
-    wanted: HashMap<(Arc<str>, WeightsName), Want>,
-    advanced_at_ms: u64,
+    /// The demand in milliseconds that endpoints spend on reading prompts, by weights.
+    prompt_reading: Demand,
+    wanted: HashMap<(Arc<str>, WeightsName), PlacementRequest>,
+    last_pass_at_ms: u64,
     open: OpenWants,
-    told_at_ms: u64,
-    store: HashMap<Arc<str>, StoreAllowance>,
+    logged_at_ms: u64,
+    store: HashMap<Arc<str>, StoreRateLimit>,
     orders: Vec<EngineOrder>,
     placed: Vec<Placed>,
-    next_order: u64,
-    /// How many adapters may be on their way from the weight store.
-    store_limit: StoreLimit,
-    /// Weights of which some endpoint has a copy.
+    last_order_number: u64,
+    /// The limit on concurrent adapter loads from the weight store.
+    store_limit: StoreConcurrencyLimit,
+    /// Weights of which some endpoint has a local copy.
     copied: HashSet<WeightsName>,
-    /// Copies that were made since they were last taken.
+    /// Copies made since the last `take_new_copies`.
     new_copies: Vec<NewCopy>,
 }
 
 impl Placement {
-    /// Knows nothing yet, at the start of a leader's time.
+    /// Creates the empty record of a new leader.
     pub fn new(now_ms: u64, settings: PlacementSettings) -> Self {
         Self {
             settings,
-            holder_watch: HolderWatch::new(now_ms),
+            gateway_tracker: GatewayTracker::new(now_ms),
             endpoints: BTreeMap::new(),
             engines: HashMap::new(),
             versions: Versions::new(settings.version_within_ms * HELD_PERCENT / 100),
-            looked_until: None,
-            looked_at_ms: now_ms,
+            scan_cursor: None,
+            scanned_at_ms: now_ms,
             outdated: BTreeSet::new(),
             renewed: HashSet::new(),
             demand: Demand::new(),
-            reading: Demand::new(),
+            prompt_reading: Demand::new(),
             wanted: HashMap::new(),
-            advanced_at_ms: 0,
+            last_pass_at_ms: 0,
             open: OpenWants::default(),
-            told_at_ms: 0,
+            logged_at_ms: 0,
             store: HashMap::new(),
             orders: Vec::new(),
             placed: Vec::new(),
-            next_order: 0,
-            store_limit: StoreLimit::new(),
+            last_order_number: 0,
+            store_limit: StoreConcurrencyLimit::new(),
             copied: HashSet::new(),
             new_copies: Vec::new(),
         }
     }
 
-    /// Numbers orders above `first`, so that an outcome of an earlier leader's order is not taken for
-    /// that of another one.
+    /// Numbers orders above `first`, so that a late outcome of a previous leader's order matches no
+    /// order of this leader.
     #[must_use]
     pub fn with_orders_after(mut self, first: u64) -> Self {
-        self.next_order = first;
+        self.last_order_number = first;
         self
     }
 
-    /// Takes the configuration's engines over.
+    /// Applies the engines of a new routing configuration.
     pub fn configure(&mut self, now_ms: u64, configuration: &RoutingConfiguration) {
         self.engines.clear();
         for service in &configuration.services {
@@ -211,28 +214,28 @@
             let rate = engine.store_loads_per_s * self.settings.store_share;
             self.store
                 .entry(service.name.clone())
-                .or_insert_with(|| StoreAllowance::new(now_ms))
+                .or_insert_with(|| StoreRateLimit::new(now_ms))
                 .set_rate(rate);
         }
     }
 
-    /// Notes an endpoint's registration.
+    /// Adds or updates a registered endpoint.
     pub fn register(&mut self, now_ms: u64, endpoint: &RegisteredEndpoint) {
         let known = self
             .endpoints
             .entry(endpoint.id.clone())
-            .or_insert_with(|| EndpointPlaces::new(now_ms, endpoint.clone()));
+            .or_insert_with(|| EndpointState::new(now_ms, endpoint.clone()));
         known.endpoint = endpoint.clone();
-        // One load for each endpoint, until loads tell what the store bears.
-        self.store_limit.start_from(self.endpoints.len());
+        // Allows one load per endpoint until measured loads show the store's capacity.
+        self.store_limit.raise_initial_limit(self.endpoints.len());
     }
 
-    /// Forgets an endpoint that is gone.
+    /// Removes an endpoint.
     pub fn deregister(&mut self, id: &str) {
         self.endpoints.remove(id);
     }
 
-    /// Notes a version of weights that has just been named as the newest.
+    /// Records a version of weights that was published just now.
     pub fn set_version(&mut self, now_ms: u64, name: WeightsName, version: u64) {
         if version > self.versions.newest(&name).unwrap_or(1) {
             self.forget_copies(&name);
@@ -241,7 +244,7 @@
         self.versions.named(now_ms, name, version);
     }
 
-    /// Forgets copies of a version that was replaced: a load of the newer one comes from the store.
+    /// Drops copies of a replaced version: the newer one has to be loaded from the store.
     fn forget_copies(&mut self, name: &WeightsName) {
         self.copied.remove(name);
         self.new_copies.retain(|copy| copy.weights != *name);
@@ -250,75 +253,75 @@
         }
     }
 
-    /// Notes a version of weights that was named as the newest under an earlier leader.
+    /// Records the newest version of weights that was published under an earlier leader.
     pub fn learn_version(&mut self, now_ms: u64, name: WeightsName, version: u64) {
         self.versions.learnt(now_ms, name, version);
     }
 
-    /// Takes a heartbeat in.
+    /// Applies a heartbeat.
     pub fn observe(&mut self, now_ms: u64, heartbeat: &Heartbeat) {
         let Some(endpoint) = self.endpoints.get_mut(&heartbeat.endpoint.id) else { return };
-        endpoint.heard_at_ms = now_ms;
+        endpoint.heartbeat_at_ms = now_ms;
         if let Some(holds) = &heartbeat.holds {
             endpoint.observe(now_ms, holds, &mut self.placed);
         }
     }
 
-    /// Takes what a gateway in `zone` lacks.
+    /// Records the weights that a gateway in `zone` needs.
     pub fn note_needs(&mut self, now_ms: u64, zone: &Arc<str>, needs: Vec<AdapterNeed>) {
         for need in needs {
             self.demand.add(now_ms, &need.weights, f64::from(need.requests));
-            let mut want = Want::further(now_ms, &need.weights, zone.clone());
-            want.more = need.more;
-            want.is_further = need.more;
+            let mut request = PlacementRequest::additional(now_ms, &need.weights, zone.clone());
+            request.homes_are_full = need.more;
+            request.is_additional = need.more;
             let key = (need.service, need.weights);
             if let Some(known) = self.wanted.get(&key) {
-                want.since_ms = known.since_ms;
+                request.first_asked_at_ms = known.first_asked_at_ms;
             }
-            self.wanted.insert(key, want);
+            self.wanted.insert(key, request);
         }
     }
 
-    /// Takes what a gateway used.
+    /// Records the weights that a gateway used.
     pub fn used(&mut self, now_ms: u64, from: &UsageSource, used: Vec<WeightsUse>) {
         for weights in used {
             if weights.requests > 0 {
                 self.demand.add(now_ms, &weights.name, f64::from(weights.requests));
-                self.reading.add(now_ms, &weights.name, f64::from(weights.reading_ms));
-                self.want_further_home(now_ms, &from.zone, &weights);
+                self.prompt_reading.add(now_ms, &weights.name, f64::from(weights.reading_ms));
+                self.request_additional_home(now_ms, &from.zone, &weights);
                 if weights.name.adapter.is_some() {
                     let requests = f64::from(weights.requests);
                     self.demand.add(now_ms, &weights.name.base(), requests);
                 }
             }
-            let newest = self.version_wanted(&weights.name);
+            let newest = self.required_version(&weights.name);
             let Some(endpoint) = self.endpoints.get_mut(&weights.endpoint) else { continue };
             endpoint.note_use(now_ms, &from.gateway, &weights, newest);
         }
     }
 
-    /// Notes what all gateways together have under way at an endpoint.
+    /// Records the load of all gateways together at an endpoint.
     pub fn note_load(&mut self, id: &str, load: Load) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.load = load;
         }
     }
 
-    /// True when gateways have something under way at the endpoint.
+    /// True when any gateway has requests running at the endpoint.
     pub fn has_running_requests(&self, id: &str) -> bool {
         self.endpoints.get(id).is_some_and(|endpoint| endpoint.load.running > 0)
     }
 
-    /// Notes endpoints that a gateway cannot reach.
+    /// Marks endpoints that a gateway cannot reach.
     pub fn mark_endpoints_unreachable(&mut self, now_ms: u64, endpoints: &[Arc<str>]) {
         for id in endpoints {
             let Some(endpoint) = self.endpoints.get_mut(id) else { continue };
             info!(event = "endpoint_failing", endpoint = %id);
-            endpoint.note_failing(now_ms);
+            endpoint.mark_unreachable(now_ms);
         }
     }
 
-    /// Everything that endpoints hold, for a gateway that has just come.
+    /// Returns what all endpoints hold, for a gateway that has just connected.
     pub fn all_placed(&self) -> Vec<Placed> {
         let mut placed = Vec::new();
         for (id, endpoint) in &self.endpoints {
@@ -334,58 +337,60 @@
         placed
     }
 
-    /// What changed for gateways since the last call.
+    /// Returns the changes for gateways since the last call.
     pub fn take_placed(&mut self) -> Vec<Placed> {
         std::mem::take(&mut self.placed)
     }
 
-    /// The orders to send.
+    /// Returns the orders to send.
     pub fn take_orders(&mut self) -> Vec<EngineOrder> {
         std::mem::take(&mut self.orders)
     }
 
-    /// Takes over that an endpoint has copies of `weights`, the latest last.
+    /// Records that an endpoint has copies of `weights`, oldest first.
     pub fn remember_copies(&mut self, now_ms: u64, id: &str, weights: &VecDeque<WeightsName>) {
         let Some(endpoint) = self.endpoints.get_mut(id) else { return };
         endpoint.remember_copies(now_ms, weights);
         self.copied.extend(weights.iter().cloned());
     }
 
-    /// The copies that endpoints got since the last call, for those who lead later.
+    /// Returns the copies made since the last call, to be recorded for later leaders.
     pub fn take_new_copies(&mut self) -> Vec<NewCopy> {
         std::mem::take(&mut self.new_copies)
     }
 
-    /// Takes the outcome of an order in.
+    /// Applies the outcome of an order.
     pub fn ordered(&mut self, now_ms: u64, result: OrderResult) {
         let Some(endpoint) = self.endpoints.get_mut(&result.endpoint) else { return };
         let Some(load) = endpoint.ordered(now_ms, &result, &mut self.placed) else { return };
         self.new_copies.push(NewCopy { endpoint: result.endpoint, weights: load.name.clone() });
         let Some(took_ms) = load.took_ms else { return };
-        // The one that is done was on its way until now.
-        let beside = load.beside_at_start.max(self.coming_from_store(now_ms) + 1);
-        self.store_limit.note(&load.name, took_ms, beside);
+        // The completed load was in progress until now, so it counts as well.
+        let concurrent = load.concurrent_at_start.max(self.loading_from_store(now_ms) + 1);
+        self.store_limit.record_load(&load.name, took_ms, concurrent);
     }
 
-    /// Decides what is to be ordered now, through the gateways that are recorded in `holders`.
+    /// Runs a placement pass: creates the orders that are due, for the gateways recorded in
+    /// `holders`.
     pub fn advance(&mut self, now_ms: u64, holders: &OrderHolders) {
-        let pause_ms = PASS_MS.max(self.endpoints.len() as u64 / ENDPOINTS_PER_PASS_MS);
-        if now_ms < self.advanced_at_ms + pause_ms {
+        let pause_ms =
+            PASS_INTERVAL_MIN_MS.max(self.endpoints.len() as u64 / ENDPOINTS_PER_PASS_MS);
+        if now_ms < self.last_pass_at_ms + pause_ms {
             return;
         }
-        self.advanced_at_ms = now_ms;
-        self.follow_holders(now_ms, holders);
-        self.give_up_lost_orders(now_ms);
-        self.ask_for_reports(now_ms);
+        self.last_pass_at_ms = now_ms;
+        self.update_holders(now_ms, holders);
+        self.fail_lost_orders(now_ms);
+        self.order_reports(now_ms);
         self.check_loads(now_ms);
         self.repeat_unloads(now_ms);
         self.unload_replaced_versions(now_ms);
-        self.want_newest_versions(now_ms);
+        self.request_newest_versions(now_ms);
         self.fill_empty_endpoints(now_ms);
         self.load_wanted(now_ms);
     }
 
-    fn give_up_lost_orders(&mut self, now_ms: u64) {
+    fn fail_lost_orders(&mut self, now_ms: u64) {
         let mut lost = Vec::new();
         for endpoint in self.endpoints.values() {
             lost.extend(endpoint.lost_order(now_ms));
@@ -396,7 +401,7 @@
         }
     }
 
-    fn ask_for_reports(&mut self, now_ms: u64) {
+    fn order_reports(&mut self, now_ms: u64) {
         let mut due = Vec::new();
         for (id, endpoint) in &self.endpoints {
             if self.engines.contains_key(&endpoint.endpoint.service)
@@ -417,7 +422,7 @@
             due.push((id.clone(), name));
         }
         for (id, name) in due {
-            let version = self.version_of(&name);
+            let version = self.newest_version(&name);
             self.order(now_ms, &id, OrderKind::Load { name, version });
         }
     }
@@ -433,7 +438,7 @@
         }
     }
 
-    fn load_with_allowance(
+    fn load_if_store_allows(
         &mut self,
         now_ms: u64,
         service: &Arc<str>,
@@ -445,7 +450,7 @@
             self.open.store_busy += 1;
             return;
         }
-        // The store counts loads of base models only.
+        // The weight store limits only the rate of base model loads.
         if !endpoint.has_copy(name) && name.adapter.is_none() {
             let Some(store) = self.store.get_mut(service) else { return };
             if !store.take(now_ms) {
@@ -453,47 +458,48 @@
             }
         }
         self.copied.insert(name.clone());
-        let version = self.version_of(name);
+        let version = self.newest_version(name);
         self.order(now_ms, id, OrderKind::Load { name: name.clone(), version });
     }
 
-    /// True while the store has as many adapters on their way as it bears.
+    /// True while adapter loads from the store are at their limit.
     fn is_store_full(&self, now_ms: u64) -> bool {
-        self.coming_from_store(now_ms) >= self.store_limit.at_once()
+        self.loading_from_store(now_ms) >= self.store_limit.concurrent_max()
     }
 
-    fn coming_from_store(&self, now_ms: u64) -> usize {
-        self.endpoints.values().map(|endpoint| endpoint.coming_from_store(now_ms)).sum()
+    fn loading_from_store(&self, now_ms: u64) -> usize {
+        self.endpoints.values().map(|endpoint| endpoint.loading_from_store(now_ms)).sum()
     }
 
-    /// The version that counts as a home of `name`; 0 while any does, as for base models, which are
-    /// served as they are held.
-    fn version_wanted(&self, name: &WeightsName) -> u64 {
+    /// The minimum version of `name` that counts as a home. The minimum is 0 if no version was
+    /// published, and for base models, which serve requests in whatever version is loaded.
+    fn required_version(&self, name: &WeightsName) -> u64 {
         if name.adapter.is_none() { 0 } else { self.versions.newest(name).unwrap_or(0) }
     }
 
-    fn version_of(&self, name: &WeightsName) -> Option<u64> {
+    fn newest_version(&self, name: &WeightsName) -> Option<u64> {
         self.versions.newest(name)
     }
 
     fn order(&mut self, now_ms: u64, id: &Arc<str>, kind: OrderKind) {
-        // Only loads need the sum over all endpoints, and there are far more reports.
-        let beside = match &kind {
-            OrderKind::Load { .. } => self.coming_from_store(now_ms) + 1,
+        // Counts concurrent loads for load orders only: the count scans all endpoints, and most
+        // orders are reports.
+        let concurrent = match &kind {
+            OrderKind::Load { .. } => self.loading_from_store(now_ms) + 1,
             OrderKind::Unload { .. } | OrderKind::Report => 0,
         };
         let Some(endpoint) = self.endpoints.get_mut(id) else { return };
         let Some(OrderHolder { gateway, token }) = endpoint.holder().cloned() else { return };
-        self.next_order += 1;
+        self.last_order_number += 1;
         let store = match &kind {
             OrderKind::Load { name, .. } => {
-                StoreLoad { expected_ms: self.store_limit.alone_ms(name), beside }
+                StoreLoad { expected_ms: self.store_limit.baseline_ms(name), concurrent }
             }
             _ => StoreLoad::default(),
         };
-        endpoint.start_order(now_ms, self.next_order, &kind, store, &mut self.placed);
+        endpoint.start_order(now_ms, self.last_order_number, &kind, store, &mut self.placed);
         self.orders.push(EngineOrder {
-            number: self.next_order,
+            number: self.last_order_number,
             endpoint: id.clone(),
             endpoint_name: endpoint.endpoint.name.clone(),
             address: endpoint.endpoint.address,
@@ -504,7 +510,7 @@
         });
     }
 
-    /// The state dump.
+    /// Returns the state dump.
     pub fn dump(&self) -> serde_json::Value {
         let mut endpoints = Vec::new();
         for (id, endpoint) in &self.endpoints {
@@ -516,12 +522,12 @@
         serde_json::json!({ "endpoints": endpoints, "wanted": self.wanted.len() })
     }
 
-    /// True when heartbeats of the endpoint come.
+    /// True while the endpoint's heartbeats arrive.
     pub fn is_endpoint_live(&self, now_ms: u64, id: &str) -> bool {
         self.endpoints.get(id).is_some_and(|endpoint| endpoint.is_live(now_ms))
     }
 
-    /// The ids of endpoints that still take work but were not heard for long.
+    /// Returns the IDs of registered endpoints whose heartbeats stopped.
     pub fn silent(&self, now_ms: u64) -> HashSet<Arc<str>> {
         let mut silent = HashSet::new();
         for (id, endpoint) in &self.endpoints {
--- a/src/control/placement/observed.rs
+++ b/src/control/placement/observed.rs
@@ -1,25 +1,25 @@
-//! What an endpoint's reports and heartbeats tell of the weights that it holds.
+//! Applies the reports and heartbeats of an endpoint to its recorded state.
 
 use super::endpoint::{
-    EndpointPlaces, FIRST_CHECK_MS, HEARTBEAT_LATE_MS, PlaceState, REPORT_LAG_MS,
+    EndpointState, FIRST_CHECK_MS, HEARTBEAT_MAX_AGE_MS, PlaceState, REPORT_LAG_MS,
 };
 use crate::message::{EngineReport, Holding, Placed, Weights};
 
-impl EndpointPlaces {
-    pub(super) fn reported(
+impl EndpointState {
+    pub(super) fn apply_report(
         &mut self,
         now_ms: u64,
         report: &EngineReport,
         placed: &mut Vec<Placed>,
     ) {
         self.sequence = Some(report.sequence);
-        self.drop_loads_not_taken(now_ms, report, placed);
-        self.finish_unloads(now_ms, report);
+        self.drop_unaccepted_loads(now_ms, report, placed);
+        self.complete_unloads(now_ms, report);
         self.reconcile(now_ms, &report.holds, 0, placed);
         for coming in &report.coming {
             if !self.places.contains_key(&coming.name) {
                 let state = PlaceState::Loading { check_at_ms: now_ms, pause_ms: FIRST_CHECK_MS };
-                self.put(now_ms, &coming.name, coming.version, state);
+                self.set_state(now_ms, &coming.name, coming.version, state);
             }
             if let Some(place) = self.places.get_mut(&coming.name) {
                 place.accepted = true;
@@ -32,32 +32,33 @@
         }
     }
 
-    /// Sees which unloads that waited for their runs are done.
-    fn finish_unloads(&mut self, now_ms: u64, report: &EngineReport) {
-        let mut waits = false;
+    /// Completes unloads of weights that are no longer reported. While others still wait for
+    /// running requests, a further report is due.
+    fn complete_unloads(&mut self, now_ms: u64, report: &EngineReport) {
+        let mut is_any_waiting = false;
         let mut gone = Vec::new();
         for (name, place) in &self.places {
             if place.state != PlaceState::Unloading {
                 continue;
             }
             if report.holds.iter().any(|weights| weights.name == *name) {
-                waits |= place.accepted;
+                is_any_waiting |= place.accepted;
             } else {
                 gone.push(name.clone());
             }
         }
         for name in gone {
             self.places.remove(&name);
-            self.dropped_at_ms.insert(name, now_ms);
+            self.unloaded_at_ms.insert(name, now_ms);
         }
-        if waits {
+        if is_any_waiting {
             self.sequence = None;
-            self.report_from_ms = now_ms + REPORT_LAG_MS;
+            self.report_due_ms = now_ms + REPORT_LAG_MS;
         }
     }
 
-    /// Forgets loads that the endpoint neither holds nor expects.
-    fn drop_loads_not_taken(
+    /// Removes loads that the report lists neither as held nor as in progress.
+    fn drop_unaccepted_loads(
         &mut self,
         now_ms: u64,
         report: &EngineReport,
@@ -74,46 +75,46 @@
         }
         for name in dropped {
             self.places.remove(&name);
-            placed.push(self.tell(&name, Holding::Gone));
+            placed.push(self.to_placed(&name, Holding::Gone));
         }
     }
 
-    /// Takes over what a heartbeat told, as far as nothing younger is known.
+    /// Applies the weights in a heartbeat, except where more recent changes are known.
     pub fn observe(&mut self, now_ms: u64, holds: &[Weights], placed: &mut Vec<Placed>) {
-        if self.has_order_under_way() {
+        if self.has_pending_order() {
             return;
         }
-        self.reconcile(now_ms, holds, HEARTBEAT_LATE_MS, placed);
+        self.reconcile(now_ms, holds, HEARTBEAT_MAX_AGE_MS, placed);
     }
 
     fn reconcile(
         &mut self,
         now_ms: u64,
         holds: &[Weights],
-        younger_ms: u64,
+        max_age_ms: u64,
         placed: &mut Vec<Placed>,
     ) {
         for weights in holds {
             let known = self.places.get(&weights.name);
             let is_settled = known.is_none_or(|place| {
-                place.changed_at_ms + younger_ms <= now_ms && place.state != PlaceState::Unloading
+                place.changed_at_ms + max_age_ms <= now_ms && place.state != PlaceState::Unloading
             });
             let is_known = known.is_some_and(|place| {
                 place.state == PlaceState::Ready && place.version == weights.version
             });
-            let dropped_at_ms = self.dropped_at_ms.get(&weights.name);
-            let is_old_news = dropped_at_ms.is_some_and(|at_ms| at_ms + younger_ms > now_ms);
-            if !is_settled || is_known || is_old_news {
+            let unloaded_at_ms = self.unloaded_at_ms.get(&weights.name);
+            let is_outdated = unloaded_at_ms.is_some_and(|at_ms| at_ms + max_age_ms > now_ms);
+            if !is_settled || is_known || is_outdated {
                 continue;
             }
-            self.put(now_ms, &weights.name, weights.version, PlaceState::Ready);
-            self.note_copy(now_ms, &weights.name);
-            placed.push(self.tell(&weights.name, Holding::Ready(weights.version)));
+            self.set_state(now_ms, &weights.name, weights.version, PlaceState::Ready);
+            self.record_copy(now_ms, &weights.name);
+            placed.push(self.to_placed(&weights.name, Holding::Ready(weights.version)));
         }
         let mut missing = Vec::new();
         for (name, place) in &self.places {
             let is_listed = holds.iter().any(|weights| weights.name == *name);
-            let is_settled = place.changed_at_ms + younger_ms.max(500) <= now_ms;
+            let is_settled = place.changed_at_ms + max_age_ms.max(500) <= now_ms;
             let is_loading = matches!(place.state, PlaceState::Loading { .. });
             if !is_listed && is_settled && !is_loading {
                 missing.push(name.clone());
@@ -121,7 +122,7 @@
         }
         for name in missing {
             self.places.remove(&name);
-            placed.push(self.tell(&name, Holding::Gone));
+            placed.push(self.to_placed(&name, Holding::Gone));
         }
     }
 }
--- a/src/control/placement/outcome.rs
+++ b/src/control/placement/outcome.rs
@@ -1,43 +1,45 @@
-//! What the outcomes of orders tell of an endpoint.
+//! Applies the outcomes of orders to the recorded state of an endpoint.
 
 use tracing::info;
 
-use super::endpoint::{EndpointPlaces, HEARTBEAT_LATE_MS, PlaceState, REPORT_LAG_MS};
+use super::endpoint::{EndpointState, HEARTBEAT_MAX_AGE_MS, PlaceState, REPORT_LAG_MS};
 use crate::message::{Holding, OrderKind, OrderOutcome, OrderResult, Placed, WeightsName};
 
-/// How soon an order without an answer is given again. Both expect the same sequence, so the endpoint
-/// carries out one of them at most, however late the first one arrives.
-const AGAIN_MS: u64 = 30;
-/// An order without an outcome for this long is lost with its gateway: connecting and the answer take
-/// half a second at most, and the rest is the way there and back.
-const OUTCOME_MAX_MS: u64 = 1_000;
-/// How soon a load is looked at again, at most.
+/// The delay before an unanswered order is sent again. Both orders expect the same sequence number,
+/// so the endpoint carries out at most one of them, however late the first one arrives.
+const RETRY_DELAY_MS: u64 = 30;
+/// An order without an outcome for this long counts as lost with its gateway: connecting and the
+/// answer take at most half a second, and the rest allows for the messages between leader and
+/// gateway.
+const OUTCOME_TIMEOUT_MS: u64 = 1_000;
+/// The longest pause between repeated checks of a load.
 const CHECK_MAX_MS: u64 = 120;
-/// How soon a load is looked at again, at least.
+/// The shortest pause between repeated checks of a load.
 const CHECK_MIN_MS: u64 = 14;
-/// A load is looked at again after its first wait divided by this: a late look costs clients as much.
-const CHECKS_PER_LOAD: u64 = 10;
-/// How soon an endpoint that gave no report is asked again.
-const REPORT_PAUSE_MS: u64 = 700;
-/// A load that is not done after this long is looked for in a report.
-const LOAD_MAX_MS: u64 = 8_000;
+/// The pause before the first check is divided by this for later checks, since clients wait for as
+/// long as a check is late.
+const CHECK_PAUSE_DIVISOR: u64 = 10;
+/// The pause before a report is requested again after one failed.
+const REPORT_RETRY_MS: u64 = 700;
+/// A load in progress for longer than this is verified by a report.
+const LOAD_TIMEOUT_MS: u64 = 8_000;
 
-/// A load from the weight store that is done.
+/// A completed load from the weight store.
 #[derive(Debug, Clone)]
-pub struct StoreLoadDone {
-    /// What was loaded.
+pub struct CompletedStoreLoad {
+    /// The loaded weights.
     pub name: WeightsName,
-    /// How long it took; not known when an order for it got no answer.
+    /// The duration; `None` when an order for the load got no answer.
     pub took_ms: Option<u64>,
-    /// How many loads were on their way when it was ordered, itself included.
-    pub beside_at_start: usize,
+    /// Concurrent loads when this one was ordered, including itself.
+    pub concurrent_at_start: usize,
 }
 
-impl EndpointPlaces {
-    /// The outcome of an order whose gateway went before it told one.
+impl EndpointState {
+    /// Returns an unknown outcome for an order that timed out because its gateway disconnected.
     pub fn lost_order(&self, now_ms: u64) -> Option<OrderResult> {
         let pending = self.pending.as_ref()?;
-        if pending.given_at_ms + OUTCOME_MAX_MS > now_ms {
+        if pending.issued_at_ms + OUTCOME_TIMEOUT_MS > now_ms {
             return None;
         }
         Some(OrderResult {
@@ -48,63 +50,67 @@
         })
     }
 
-    /// Takes the outcome of an order in.
+    /// Applies the outcome of an order.
     ///
-    /// Returns the load from the weight store that this showed to be done, if any.
+    /// Returns the load from the weight store that the outcome completes, if any.
     pub fn ordered(
         &mut self,
         now_ms: u64,
         result: &OrderResult,
         placed: &mut Vec<Placed>,
-    ) -> Option<StoreLoadDone> {
+    ) -> Option<CompletedStoreLoad> {
         let pending = self.pending.take_if(|pending| pending.number == result.number)?;
-        self.orders_arrive.note(now_ms, &result.outcome);
-        let load_done = self.store_load_done(now_ms, result);
+        self.order_arrival.note(now_ms, &result.outcome);
+        let load_done = self.completed_store_load(now_ms, result);
         match &result.outcome {
-            OrderOutcome::Report(report) => self.reported(now_ms, report, placed),
-            OrderOutcome::UnderWay => self.under_way(now_ms, &result.kind, pending.repeats),
-            OrderOutcome::Done => self.done(now_ms, &result.kind, pending.repeats, placed),
+            OrderOutcome::Report(report) => self.apply_report(now_ms, report, placed),
+            OrderOutcome::UnderWay => self.apply_accepted(now_ms, &result.kind, pending.is_repeat),
+            OrderOutcome::Done => self.apply_done(now_ms, &result.kind, pending.is_repeat, placed),
             OrderOutcome::Conflict => {
-                // Something else was carried out here; only a report tells what.
+                // The endpoint carried out another order; a report is needed to learn its state.
                 self.sequence = None;
-                self.report_from_ms = now_ms + REPORT_LAG_MS;
-                self.recheck(now_ms, &result.kind);
+                self.report_due_ms = now_ms + REPORT_LAG_MS;
+                self.schedule_check(now_ms, &result.kind);
             }
             OrderOutcome::Refused | OrderOutcome::NotSent => {
                 let is_unreachable = matches!(result.outcome, OrderOutcome::NotSent);
                 if is_unreachable && result.kind != OrderKind::Report {
-                    self.note_failing(now_ms);
+                    self.mark_unreachable(now_ms);
                 }
-                self.take_back(now_ms, &result.kind, placed);
-                self.report_from_ms = now_ms + REPORT_PAUSE_MS;
+                self.revert_order(now_ms, &result.kind, placed);
+                self.report_due_ms = now_ms + REPORT_RETRY_MS;
             }
             OrderOutcome::Unknown => {
-                self.again_from_ms = now_ms + AGAIN_MS;
+                self.orders_from_ms = now_ms + RETRY_DELAY_MS;
                 if let OrderKind::Load { name, .. } = &result.kind
                     && let Some(place) = self.places.get_mut(name)
                 {
                     place.unanswered = true;
                 }
-                self.report_from_ms = now_ms + REPORT_PAUSE_MS;
-                self.recheck(now_ms, &result.kind);
+                self.report_due_ms = now_ms + REPORT_RETRY_MS;
+                self.schedule_check(now_ms, &result.kind);
             }
         }
         load_done
     }
 
-    fn store_load_done(&self, now_ms: u64, result: &OrderResult) -> Option<StoreLoadDone> {
+    fn completed_store_load(
+        &self,
+        now_ms: u64,
+        result: &OrderResult,
+    ) -> Option<CompletedStoreLoad> {
         let OrderKind::Load { name, .. } = &result.kind else { return None };
         let place = self.places.get(name)?;
         let is_done = matches!(result.outcome, OrderOutcome::Done);
-        (is_done && place.from_store && place.accepted).then(|| StoreLoadDone {
+        (is_done && place.from_store && place.accepted).then(|| CompletedStoreLoad {
             name: name.clone(),
             took_ms: (!place.unanswered).then(|| now_ms - place.changed_at_ms),
-            beside_at_start: place.beside_at_start,
+            concurrent_at_start: place.concurrent_at_start,
         })
     }
 
-    fn under_way(&mut self, now_ms: u64, kind: &OrderKind, repeats: bool) {
-        if !repeats {
+    fn apply_accepted(&mut self, now_ms: u64, kind: &OrderKind, is_repeat: bool) {
+        if !is_repeat {
             self.sequence = self.sequence.map(|sequence| sequence + 1);
         }
         if let OrderKind::Load { name, .. } | OrderKind::Unload { name } = kind
@@ -113,31 +119,38 @@
             place.accepted = true;
         }
         if let OrderKind::Unload { .. } = kind {
-            // The endpoint takes no other order until its runs have ended; a report tells when.
+            // The endpoint accepts no other order until the running requests have ended, which a
+            // report shows.
             self.sequence = None;
-            self.report_from_ms = now_ms + REPORT_LAG_MS;
+            self.report_due_ms = now_ms + REPORT_LAG_MS;
         }
-        self.recheck(now_ms, kind);
+        self.schedule_check(now_ms, kind);
     }
 
-    fn recheck(&mut self, now_ms: u64, kind: &OrderKind) {
+    fn schedule_check(&mut self, now_ms: u64, kind: &OrderKind) {
         let (OrderKind::Load { name, .. } | OrderKind::Unload { name }) = kind else { return };
         let Some(place) = self.places.get_mut(name) else { return };
         if place.state == PlaceState::Unloading {
             place.changed_at_ms = now_ms;
         }
         if let PlaceState::Loading { pause_ms, .. } = place.state {
-            if place.changed_at_ms + LOAD_MAX_MS < now_ms {
+            if place.changed_at_ms + LOAD_TIMEOUT_MS < now_ms {
                 self.sequence = None;
             }
             place.state = PlaceState::Loading {
                 check_at_ms: now_ms + pause_ms,
-                pause_ms: (pause_ms / CHECKS_PER_LOAD).clamp(CHECK_MIN_MS, CHECK_MAX_MS),
+                pause_ms: (pause_ms / CHECK_PAUSE_DIVISOR).clamp(CHECK_MIN_MS, CHECK_MAX_MS),
             };
         }
     }
 
-    fn done(&mut self, now_ms: u64, kind: &OrderKind, repeats: bool, placed: &mut Vec<Placed>) {
+    fn apply_done(
+        &mut self,
+        now_ms: u64,
+        kind: &OrderKind,
+        is_repeat: bool,
+        placed: &mut Vec<Placed>,
+    ) {
         match kind {
             OrderKind::Report => {}
             OrderKind::Load { name, .. } => {
@@ -151,39 +164,39 @@
                     from_store = place.from_store,
                     after_ms = now_ms - place.changed_at_ms
                 );
-                self.put(now_ms, name, version, PlaceState::Ready);
-                placed.push(self.tell(name, Holding::Ready(version)));
+                self.set_state(now_ms, name, version, PlaceState::Ready);
+                placed.push(self.to_placed(name, Holding::Ready(version)));
             }
             OrderKind::Unload { name } => {
-                // One that waited for its runs was counted when it was taken.
-                if !repeats {
+                // An unload that waited for running requests was counted when accepted.
+                if !is_repeat {
                     self.sequence = self.sequence.map(|sequence| sequence + 1);
                 }
                 for gone in self.with_adapters(name) {
                     self.places.remove(&gone);
                 }
-                self.dropped_at_ms.retain(|_, at_ms| *at_ms + HEARTBEAT_LATE_MS > now_ms);
-                self.dropped_at_ms.insert(name.clone(), now_ms);
+                self.unloaded_at_ms.retain(|_, at_ms| *at_ms + HEARTBEAT_MAX_AGE_MS > now_ms);
+                self.unloaded_at_ms.insert(name.clone(), now_ms);
             }
         }
     }
 
-    fn take_back(&mut self, now_ms: u64, kind: &OrderKind, placed: &mut Vec<Placed>) {
+    fn revert_order(&mut self, now_ms: u64, kind: &OrderKind, placed: &mut Vec<Placed>) {
         match kind {
             OrderKind::Report => {}
             OrderKind::Load { name, .. } => {
                 self.places.remove(name);
-                placed.push(self.tell(name, Holding::Gone));
+                placed.push(self.to_placed(name, Holding::Gone));
                 self.sequence = None;
             }
             OrderKind::Unload { name } => {
                 let version = self.places.get(name).map_or(1, |place| place.version);
-                self.put(now_ms, name, version, PlaceState::Ready);
-                // Gateways were told that all of these are gone.
+                self.set_state(now_ms, name, version, PlaceState::Ready);
+                // Gateways were told that the model and its adapters are gone.
                 for kept in self.with_adapters(name) {
                     let Some(place) = self.places.get(&kept) else { continue };
                     if place.state == PlaceState::Ready {
-                        placed.push(self.tell(&kept, Holding::Ready(place.version)));
+                        placed.push(self.to_placed(&kept, Holding::Ready(place.version)));
                     }
                 }
                 self.sequence = None;
--- a/tests/holders.rs
+++ b/tests/holders.rs
@@ -1,4 +1,5 @@
-//! Which gateway gives an endpoint its orders, and that two never do so within the engines' lease.
+//! Tests that one gateway at a time sends orders to an endpoint, and that holders never overlap
+//! within the engines' order lease.
 
 mod common;
 
@@ -15,11 +16,11 @@
 use winchvane::message::{EngineOrder, OrderOutcome, OrderResult, RegisteredEndpoint};
 use winchvane::relay::{ORDER_HOLD_MS, ORDER_WRITE_MS};
 
-/// `WINCHVANE_SEEDS=20000 cargo test --release --test holders` runs longer.
+/// `WINCHVANE_SEEDS=20000 cargo test --release --test holders` runs more seeds.
 const DEFAULT_SEEDS: u64 = 40;
 const LEASE_MS: u64 = 3_000;
-/// A new leader lets gateways gather this long before it chooses.
-const GATHERED_MS: u64 = 500;
+/// How long a new leader waits for gateways to connect before it chooses holders.
+const CONNECT_WAIT_MS: u64 = 500;
 
 fn endpoint(number: u16, zone: &str) -> RegisteredEndpoint {
     RegisteredEndpoint {
@@ -44,8 +45,8 @@
     placement
 }
 
-/// A leader of two gateways, of which `g1` orders the first endpoint.
-fn ordered_by_g1(endpoints: &[RegisteredEndpoint]) -> (Placement, OrderHolders) {
+/// A leader with two gateways, of which `g1` holds the first endpoint.
+fn held_by_g1(endpoints: &[RegisteredEndpoint]) -> (Placement, OrderHolders) {
     let mut holders = OrderHolders::new();
     holders.insert(endpoints[0].address, OrderHolder { gateway: "g1".into(), token: 9 });
     let mut placement = leader(0, endpoints);
@@ -63,7 +64,7 @@
     }
 }
 
-fn heard(placement: &mut Placement, now_ms: u64, endpoints: &[RegisteredEndpoint]) {
+fn send_heartbeats(placement: &mut Placement, now_ms: u64, endpoints: &[RegisteredEndpoint]) {
     for endpoint in endpoints {
         placement.observe(
             now_ms,
@@ -77,33 +78,33 @@
 }
 
 #[test]
-fn gateways_of_the_zone_come_first_and_share_alike() {
+fn endpoints_are_divided_among_gateways_of_their_zone() {
     let endpoints = [endpoint(1, "a"), endpoint(2, "a"), endpoint(3, "b"), endpoint(4, "c")];
     let mut placement = leader(0, &endpoints);
     placement.set_gateways(0, gateways(&[("g1", "a"), ("g2", "a"), ("g3", "b")]));
     let holders = OrderHolders::new();
-    placement.advance(GATHERED_MS - 1, &holders);
-    assert!(placement.take_choices().is_empty(), "others may still come");
-    placement.advance(GATHERED_MS + 5, &holders);
+    placement.advance(CONNECT_WAIT_MS - 1, &holders);
+    assert!(placement.take_choices().is_empty(), "other gateways may still connect");
+    placement.advance(CONNECT_WAIT_MS + 5, &holders);
     let mut chosen = BTreeMap::new();
     for choice in placement.take_choices() {
         *chosen.entry(choice.gateway.to_string()).or_insert(0) += 1;
     }
     let expected = [("g1".to_owned(), 2), ("g2".to_owned(), 1), ("g3".to_owned(), 1)];
-    assert_eq!(chosen, BTreeMap::from(expected), "the fourth one has no gateway in its zone");
-    placement.advance(GATHERED_MS + 50, &holders);
-    assert!(placement.take_choices().is_empty(), "each is proposed once");
-    assert!(placement.take_orders().is_empty(), "nothing is ordered before it is recorded");
+    assert_eq!(chosen, BTreeMap::from(expected), "the fourth endpoint has no gateway in its zone");
+    placement.advance(CONNECT_WAIT_MS + 50, &holders);
+    assert!(placement.take_choices().is_empty(), "each choice is proposed once");
+    assert!(placement.take_orders().is_empty(), "no order is sent before the holder is recorded");
 }
 
 #[test]
-fn a_new_leader_orders_at_once_through_the_recorded_gateway() {
+fn new_leader_sends_orders_through_the_recorded_holder_at_once() {
     let endpoints = [endpoint(1, "a")];
     let mut holders = OrderHolders::new();
     holders.insert(endpoints[0].address, OrderHolder { gateway: "g1".into(), token: 9 });
     let mut placement = leader(1_000, &endpoints);
     placement.advance(1_010, &holders);
-    assert!(placement.take_orders().is_empty(), "the gateway has not come yet");
+    assert!(placement.take_orders().is_empty(), "the holder is not connected yet");
     placement.set_gateways(1_020, gateways(&[("g1", "a"), ("g2", "a")]));
     placement.advance(1_030, &holders);
     let orders = placement.take_orders();
@@ -111,38 +112,42 @@
 }
 
 #[test]
-fn another_gateway_orders_only_when_no_order_of_the_former_one_counts() {
+fn holder_changes_only_once_no_order_of_the_former_one_can_take_effect() {
     let endpoints = [endpoint(1, "a")];
-    let (mut placement, mut holders) = ordered_by_g1(&endpoints);
-    heard(&mut placement, 9_900, &endpoints);
+    let (mut placement, mut holders) = held_by_g1(&endpoints);
+    send_heartbeats(&mut placement, 9_900, &endpoints);
     placement.advance(9_990, &holders);
-    assert_eq!(placement.take_orders().len(), 1, "one is under way when the gateway goes");
+    assert_eq!(
+        placement.take_orders().len(),
+        1,
+        "an order is pending when the gateway disconnects"
+    );
     placement.set_gateways(10_000, gateways(&[("g2", "a")]));
-    let spent_ms = 10_000 + ORDER_HOLD_MS + ORDER_WRITE_MS + LEASE_MS;
+    let expired_ms = 10_000 + ORDER_HOLD_MS + ORDER_WRITE_MS + LEASE_MS;
     placement.advance(11_100, &holders);
-    assert!(placement.take_choices().is_empty(), "it is taken for lost, and may come all the same");
-    placement.advance(spent_ms - 1, &holders);
+    assert!(placement.take_choices().is_empty(), "the lost order may still arrive");
+    placement.advance(expired_ms - 1, &holders);
     assert!(placement.take_choices().is_empty());
-    placement.advance(spent_ms + 5, &holders);
+    placement.advance(expired_ms + 5, &holders);
     let choices = placement.take_choices();
     assert_eq!(choices.len(), 1);
-    placement.set_gateways(spent_ms + 10, gateways(&[("g1", "a"), ("g2", "a")]));
-    heard(&mut placement, spent_ms, &endpoints);
-    placement.advance(spent_ms + 20, &holders);
+    placement.set_gateways(expired_ms + 10, gateways(&[("g1", "a"), ("g2", "a")]));
+    send_heartbeats(&mut placement, expired_ms, &endpoints);
+    placement.advance(expired_ms + 20, &holders);
     assert!(placement.take_orders().is_empty(), "the choice may be recorded at any moment");
     record(&mut holders, 12, choices);
-    placement.advance(spent_ms + 30, &holders);
+    placement.advance(expired_ms + 30, &holders);
     let orders = placement.take_orders();
     assert_eq!((&*orders[0].holder, orders[0].token), ("g2", 12));
 }
 
-/// A leader whose own disk stalls looks at nothing meanwhile: when it goes on, an order that it gave before is
-/// still open, and its gateway is long gone.
+/// A leader with a stalled disk makes no passes meanwhile. When it continues, an order from before
+/// the stall is still pending, and the order's gateway disconnected long ago.
 #[test]
-fn an_order_that_is_still_open_keeps_the_next_gateway_waiting() {
+fn pending_order_delays_the_next_holder() {
     let endpoints = [endpoint(1, "a")];
-    let (mut placement, holders) = ordered_by_g1(&endpoints);
-    heard(&mut placement, 9_900, &endpoints);
+    let (mut placement, holders) = held_by_g1(&endpoints);
+    send_heartbeats(&mut placement, 9_900, &endpoints);
     placement.advance(9_990, &holders);
     assert_eq!(placement.take_orders().len(), 1);
     placement.set_gateways(10_000, gateways(&[("g2", "a")]));
@@ -150,36 +155,34 @@
     assert!(placement.take_choices().is_empty());
 }
 
-/// What users saw: first requests of adapters waited for 4.3 s and longer, or were refused, when the gateway
-/// that ordered an endpoint was killed.
-/// Order of events: the gateway's last order is answered, the gateway goes, others ask for adapters.
-/// Cause: the wait for the engines' lease began when no order could be written any more, whether or not one
-/// was under way.
-/// Evidence: by the constants, 1.0 + 0.3 + 3.0 s, and the entry under "Open" of the platform's page.
+/// Guards against a needless wait after an order holder was killed: first requests for adapters
+/// waited for at least 4.3 s (1.0 + 0.3 + 3.0 s) or were refused. The wait for the order lease
+/// began when the holder could no longer write orders, even if its last order was already answered.
 #[test]
-fn an_endpoint_without_an_open_order_gets_the_next_gateway_when_its_last_one_is_spent() {
+fn holder_changes_when_the_lease_of_the_last_answered_order_expires() {
     let endpoints = [endpoint(1, "a")];
     let gone_ms = 20_000;
-    for (answered_ms, spent_ms) in [
-        // The lease of an early one is over by the time that its gateway counts as gone.
+    for (answered_ms, expired_ms) in [
+        // The lease of an order answered this early expires before the gateway can no longer write
+        // orders.
         (10_000, gone_ms + ORDER_HOLD_MS + ORDER_WRITE_MS),
         (gone_ms - 500, gone_ms - 500 + LEASE_MS),
     ] {
-        let (mut placement, holders) = ordered_by_g1(&endpoints);
-        heard(&mut placement, answered_ms, &endpoints);
+        let (mut placement, holders) = held_by_g1(&endpoints);
+        send_heartbeats(&mut placement, answered_ms, &endpoints);
         placement.advance(answered_ms, &holders);
         let orders = placement.take_orders();
         assert_eq!(orders.len(), 1);
         placement.ordered(answered_ms, answered(&orders[0]));
         placement.set_gateways(gone_ms, gateways(&[("g2", "a")]));
-        placement.advance(spent_ms - 1, &holders);
+        placement.advance(expired_ms - 1, &holders);
         assert!(placement.take_choices().is_empty(), "answered at {answered_ms}");
-        placement.advance(spent_ms + 5, &holders);
+        placement.advance(expired_ms + 5, &holders);
         assert_eq!(placement.take_choices().len(), 1, "answered at {answered_ms}");
     }
 }
 
-/// An order that the endpoint answered: something else was carried out there.
+/// A conflict: the endpoint answered and had carried out another order.
 fn answered(order: &EngineOrder) -> OrderResult {
     OrderResult {
         number: order.number,
@@ -189,23 +192,23 @@
     }
 }
 
-/// A gateway as engines see it: it writes an order only while its session is confirmed.
+/// A simulated gateway, which writes orders only while its session is confirmed.
 #[derive(Default)]
 struct Gateway {
     follows_term: Option<u64>,
     lease_until_ms: u64,
-    /// Orders with when they would be written: some wait for a link or a processor.
+    /// Orders and the time each is written; some are delayed by a link or the scheduler.
     orders: Vec<(u64, EngineOrder)>,
 }
 
-/// What an endpoint saw last: when, from whom, under which token.
-type Seen = HashMap<SocketAddr, (u64, Arc<str>, u64)>;
+/// The last order that each endpoint received: time, holder and token.
+type LastOrders = HashMap<SocketAddr, (u64, Arc<str>, u64)>;
 
-/// Writes what is due and returns the orders that the endpoint has taken.
+/// Writes the orders that are due and returns those that their endpoints accepted.
 fn write_orders(
     now_ms: u64,
     gateway: &mut Gateway,
-    seen: &mut Seen,
+    last_orders: &mut LastOrders,
     changes: &mut u32,
 ) -> Vec<EngineOrder> {
     let mut taken = Vec::new();
@@ -213,26 +216,27 @@
     gateway.orders = later;
     let due: Vec<(u64, EngineOrder)> = due;
     for (_, order) in due {
-        // The lease held when it was looked at, before a connection was made.
+        // The lease is checked before the connection is made, so an order may be written a little
+        // later.
         if now_ms >= gateway.lease_until_ms + ORDER_WRITE_MS {
             continue;
         }
-        if let Some((at_ms, holder, token)) = seen.get(&order.address) {
+        if let Some((at_ms, holder, token)) = last_orders.get(&order.address) {
             if *holder != order.holder {
-                assert!(at_ms + LEASE_MS <= now_ms, "{holder} and {} by turns", order.holder);
-                assert!(*token < order.token, "the token has to rise");
+                assert!(at_ms + LEASE_MS <= now_ms, "{holder} and {} overlap", order.holder);
+                assert!(*token < order.token, "the token has to increase");
                 *changes += 1;
             }
             assert!(*token <= order.token, "an older token after a newer one");
         }
-        seen.insert(order.address, (now_ms, order.holder.clone(), order.token));
+        last_orders.insert(order.address, (now_ms, order.holder.clone(), order.token));
         taken.push(order);
     }
     taken
 }
 
 #[test]
-fn no_two_gateways_order_an_endpoint_within_the_lease() {
+fn holders_never_overlap_within_the_lease() {
     let endpoints = [endpoint(1, "a"), endpoint(2, "a"), endpoint(3, "b")];
     let names = ["g1", "g2", "g3"];
     let mut changes = 0;
@@ -244,11 +248,11 @@
         for name in names {
             fleet.insert(name, Gateway::default());
         }
-        let mut seen = Seen::new();
+        let mut last_orders = LastOrders::new();
         let (mut term, mut index) = (1, 1);
         let mut placement = leader(0, &endpoints);
         for now_ms in (0..120_000).step_by(20) {
-            // The log's leader changes; orders of the former one are still on their way.
+            // The leader changes; orders of the previous one are still on their way.
             if random.random_bool(0.002) {
                 term += 1;
                 placement = leader(now_ms, &endpoints);
@@ -259,7 +263,7 @@
                 } else if gateway.follows_term != Some(term) && random.random_bool(0.01) {
                     gateway.follows_term = Some(term);
                 }
-                // Only the leader of the term can confirm a renewal.
+                // Only the current term's leader can confirm a renewal.
                 if gateway.follows_term == Some(term) && now_ms % 300 == 0 {
                     gateway.lease_until_ms = now_ms + ORDER_HOLD_MS;
                 }
@@ -271,7 +275,7 @@
                 }
             }
             placement.set_gateways(now_ms, connected);
-            heard(&mut placement, now_ms, &endpoints);
+            send_heartbeats(&mut placement, now_ms, &endpoints);
             placement.advance(now_ms, &holders);
             let choices = placement.take_choices();
             if !choices.is_empty() {
@@ -281,16 +285,17 @@
             for order in placement.take_orders() {
                 let at_ms = now_ms + random.random_range(0..800);
                 if random.random_bool(0.5) {
-                    // The outcome gets lost, so that the next pass may order again.
+                    // The outcome is lost, so the next pass may repeat the order.
                     let lost = OrderResult { outcome: OrderOutcome::Unknown, ..answered(&order) };
                     placement.ordered(now_ms, lost);
                 }
-                let gateway = fleet.get_mut(&*order.holder).expect("only these three are known");
+                let gateway =
+                    fleet.get_mut(&*order.holder).expect("the holder is one of the three gateways");
                 gateway.orders.push((at_ms, order));
             }
             for gateway in fleet.values_mut() {
-                let taken = write_orders(now_ms, gateway, &mut seen, &mut changes);
-                // Only the leader of the term hears of them.
+                let taken = write_orders(now_ms, gateway, &mut last_orders, &mut changes);
+                // The current leader learns outcomes only from gateways that follow its term.
                 let is_followed = gateway.follows_term == Some(term);
                 for order in taken.iter().filter(|_| is_followed) {
                     placement.ordered(now_ms, answered(order));
@@ -302,7 +307,7 @@
 }
 
 #[test]
-fn an_order_that_is_lost_with_its_gateway_is_given_again() {
+fn order_lost_with_its_gateway_is_repeated() {
     let endpoints = [endpoint(1, "a")];
     let mut holders = OrderHolders::new();
     holders.insert(endpoints[0].address, OrderHolder { gateway: "g1".into(), token: 9 });
@@ -312,7 +317,7 @@
     let first = placement.take_orders();
     assert_eq!(first.len(), 1);
     placement.advance(900, &holders);
-    assert!(placement.take_orders().is_empty(), "its outcome may still come");
+    assert!(placement.take_orders().is_empty(), "the outcome may still arrive");
     for now_ms in [1_010, 1_400, 1_800] {
         placement.advance(now_ms, &holders);
     }
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Which orders the leader gives to engines, and when.
+//! Tests of the orders that the leader creates for inference endpoints.
 
 mod common;
 
@@ -6,8 +6,8 @@
 
 use common::engines::configuration;
 use winchvane::control::placement::{
-    EndpointPlaces, OrderHolder, OrderHolders, Placement, PlacementSettings, StoreAllowance,
-    StoreLimit, StoreLoad, UsageSource,
+    EndpointState, OrderHolder, OrderHolders, Placement, PlacementSettings, StoreConcurrencyLimit,
+    StoreLoad, StoreRateLimit, UsageSource,
 };
 use winchvane::message::{
     AdapterNeed, EngineOrder, EngineReport, Heartbeat, Holding, OrderKind, OrderOutcome,
@@ -36,7 +36,7 @@
     OrderKind::Load { name: adapter(number), version: None }
 }
 
-/// A leader that may order through one gateway, before one endpoint that holds the base model only.
+/// A leader with one gateway as order holder and one endpoint that holds only the base model.
 struct Leader {
     placement: Placement,
     holders: OrderHolders,
@@ -54,19 +54,19 @@
         leader
     }
 
-    /// Registers an endpoint that holds the base model only.
+    /// Registers an endpoint that holds only the default base model.
     fn add_endpoint(&mut self, id: &str) {
         self.add_endpoint_with(id, &adapter(0).base());
     }
 
-    /// Registers an endpoint that holds one base model only.
+    /// Registers an endpoint that holds only `model`.
     fn add_endpoint_with(&mut self, id: &str, model: &WeightsName) {
         let port = 7_000 + u16::from(id.as_bytes()[1]);
         let holder = OrderHolder { gateway: "g1".into(), token: 7 };
         self.holders.insert(([127, 0, 0, 1], port).into(), holder);
         self.placement.register(self.now_ms, &registered(id, port));
         let report = self.next_order();
-        assert_eq!(report.kind, OrderKind::Report, "nothing is ordered before a report");
+        assert_eq!(report.kind, OrderKind::Report, "the first order has to be a report");
         let held = Weights { name: model.clone(), version: 1 };
         let outcome = EngineReport { sequence: 5, holds: vec![held], coming: Vec::new() };
         self.answer(&report, OrderOutcome::Report(outcome));
@@ -88,8 +88,8 @@
         self.placement.note_needs(self.now_ms, &"a".into(), vec![need]);
     }
 
-    /// The gateway tells of requests with an adapter: how many it sent, how many are under way.
-    fn uses(&mut self, endpoint: &str, number: usize, requests: u32, under_way: u32) {
+    /// Reports requests for an adapter: how many were sent and how many are in progress.
+    fn report_use(&mut self, endpoint: &str, number: usize, requests: u32, under_way: u32) {
         let from = UsageSource { gateway: "g1".into(), zone: "a".into() };
         let name = adapter(number);
         let reading_ms = requests * 100;
@@ -109,7 +109,7 @@
                 return order;
             }
         }
-        panic!("no order in ten seconds");
+        panic!("no order within ten seconds");
     }
 
     fn answer(&mut self, order: &EngineOrder, outcome: OrderOutcome) {
@@ -123,7 +123,7 @@
         self.placement.ordered(self.now_ms, result);
     }
 
-    /// Loads an adapter to its end.
+    /// Loads an adapter to completion.
     fn load(&mut self, number: usize) {
         self.need(number);
         let order = self.next_order();
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_load_that_is_ordered_again_moves_no_sequence() {
+fn repeated_load_order_keeps_the_sequence() {
     let mut leader = Leader::new(4);
     leader.need(1);
     let first = leader.next_order();
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn an_order_without_an_answer_is_given_again_under_the_same_sequence() {
+fn unanswered_order_is_repeated_with_the_same_sequence() {
     let mut leader = Leader::new(4);
     leader.need(1);
     let lost = leader.next_order();
@@ -164,65 +164,67 @@
 }
 
 #[test]
-fn no_more_adapters_than_places_are_ordered() {
+fn adapter_limit_of_an_engine_is_respected() {
     let mut leader = Leader::new(2);
     leader.load(1);
     leader.load(2);
     leader.need(3);
     let order = leader.next_order();
-    let OrderKind::Unload { name } = &order.kind else { panic!("a place is made first") };
+    let OrderKind::Unload { name } = &order.kind else {
+        panic!("an adapter has to be unloaded first")
+    };
     assert!(*name == adapter(1) || *name == adapter(2));
     leader.answer(&order, OrderOutcome::Done);
     assert_eq!(leader.next_order().kind, OrderKind::Load { name: adapter(3), version: None });
 }
 
 #[test]
-fn an_adapter_in_use_is_not_unloaded() {
+fn adapter_in_use_is_not_unloaded() {
     let mut leader = Leader::new(1);
     leader.load(1);
     for turn in 0..150 {
         leader.need(2);
-        // Gateways remind the leader once a second of what is under way.
+        // Gateways repeat once a second which uses are in progress.
         if turn % 50 == 0 {
-            leader.uses("e1", 1, 0, 1);
+            leader.report_use("e1", 1, 0, 1);
         }
-        assert!(leader.pass(20).is_empty(), "it is in use");
+        assert!(leader.pass(20).is_empty(), "the adapter is in use");
     }
-    leader.uses("e1", 1, 0, 0);
+    leader.report_use("e1", 1, 0, 0);
     leader.need(2);
-    assert!(leader.pass(20).is_empty(), "another request may be on its way to it");
+    assert!(leader.pass(20).is_empty(), "another request may be on its way to the adapter");
     leader.need(2);
     assert_eq!(leader.next_order().kind, OrderKind::Unload { name: adapter(1) });
 }
 
 #[test]
-fn a_further_home_that_nobody_uses_gives_way_while_the_other_one_is_in_use() {
+fn unused_additional_home_is_evicted_while_the_other_is_in_use() {
     let mut leader = Leader::new(1);
     leader.load(1);
     leader.add_endpoint("e2");
-    leader.uses("e1", 1, 40, 2);
+    leader.report_use("e1", 1, 40, 2);
     let order = leader.next_order();
     assert_eq!((&*order.endpoint, order.kind.clone()), ("e2", load_of(1)));
     leader.answer(&order, OrderOutcome::Done);
     leader.now_ms += 1_000;
-    leader.uses("e1", 1, 1, 2);
+    leader.report_use("e1", 1, 1, 2);
     leader.need(2);
     let order = leader.next_order();
     assert_eq!((&*order.endpoint, order.kind), ("e2", OrderKind::Unload { name: adapter(1) }));
 }
 
 #[test]
-fn a_use_that_is_not_mentioned_again_is_forgotten() {
+fn use_that_is_not_repeated_expires() {
     let mut leader = Leader::new(1);
     leader.load(1);
-    leader.uses("e1", 1, 0, 1);
+    leader.report_use("e1", 1, 0, 1);
     leader.now_ms += 3_000;
     leader.need(2);
     assert_eq!(leader.next_order().kind, OrderKind::Unload { name: adapter(1) });
 }
 
 #[test]
-fn an_unload_that_waits_for_its_runs_closes_the_endpoint_for_orders() {
+fn unload_that_waits_for_requests_blocks_further_orders() {
     let mut leader = Leader::new(1);
     leader.load(1);
     leader.need(2);
@@ -231,11 +233,11 @@
     leader.answer(&unload, OrderOutcome::UnderWay);
     leader.need(2);
     let next = leader.next_order();
-    assert_eq!(next.kind, OrderKind::Report, "only a report tells when it is done");
+    assert_eq!(next.kind, OrderKind::Report, "only a report shows when the unload is done");
 }
 
 #[test]
-fn no_more_than_four_adapters_are_on_their_way_to_an_endpoint() {
+fn at_most_four_adapters_load_at_an_endpoint() {
     let mut leader = Leader::new(16);
     for number in 0..10 {
         leader.need(number);
@@ -256,7 +258,7 @@
 }
 
 #[test]
-fn a_newer_version_is_loaded_in_place_of_the_older_one() {
+fn newer_version_replaces_the_older_one() {
     let mut leader = Leader::new(4);
     leader.load(1);
     leader.placement.set_version(leader.now_ms, adapter(1), 2);
@@ -280,7 +282,7 @@
 }
 
 #[test]
-fn a_load_that_is_looked_at_after_a_renewal_counts_as_the_version_that_was_asked_for() {
+fn load_checked_after_a_renewal_yields_the_requested_version() {
     let mut leader = Leader::new(4);
     leader.need(1);
     let order = leader.next_order();
@@ -294,13 +296,14 @@
     assert_eq!(ready.map(|placed| placed.holding), Some(Holding::Ready(2)), "{told:?}");
 }
 
-/// The first unload of adapter 1 while requests with it are under way everywhere, and when it comes.
+/// Returns the first unload of adapter 1, and when it was ordered, while all endpoints use the
+/// adapter.
 fn first_unload(leader: &mut Leader, within_ms: u64) -> Option<(u64, EngineOrder)> {
     let from_ms = leader.now_ms;
     while leader.now_ms < from_ms + within_ms {
         for id in ["e1", "e2"] {
             leader.heartbeat(id);
-            leader.uses(id, 1, 1, 3);
+            leader.report_use(id, 1, 1, 3);
         }
         for order in leader.pass(20) {
             if order.kind == (OrderKind::Unload { name: adapter(1) }) {
@@ -313,51 +316,56 @@
 }
 
 #[test]
-fn a_replaced_version_is_taken_away_in_time_though_requests_still_wait_for_it() {
+fn replaced_version_is_unloaded_in_time_despite_waiting_requests() {
     let mut leader = renewed();
-    let (after_ms, order) = first_unload(&mut leader, 10_000).expect("it is unloaded");
+    let (after_ms, order) =
+        first_unload(&mut leader, 10_000).expect("the replaced version is unloaded");
     assert!((3_000..4_000).contains(&after_ms), "after {after_ms} ms of 5,000");
     leader.answer(&order, OrderOutcome::Done);
-    assert!(first_unload(&mut leader, 10_000).is_none(), "the newest one stays");
+    assert!(first_unload(&mut leader, 10_000).is_none(), "the newest version stays");
 }
 
 #[test]
-fn a_new_leader_takes_replaced_versions_away_at_once() {
+fn new_leader_unloads_replaced_versions_at_once() {
     let mut leader = Leader::new(4);
     leader.load(1);
     leader.placement.learn_version(leader.now_ms, adapter(1), 2);
-    let (after_ms, _) = first_unload(&mut leader, 1_000).expect("how old it is, nobody knows");
+    let (after_ms, _) = first_unload(&mut leader, 1_000)
+        .expect("the version is unloaded, since its age is unknown");
     assert!(after_ms < 300, "after {after_ms} ms");
 }
 
 #[test]
-fn the_stores_rate_holds_over_any_window_and_across_leaders() {
+fn store_rate_limit_holds_in_any_window_and_across_leaders() {
     let window_ms = 5_000;
     let mut taken: Vec<u64> = Vec::new();
-    let mut allowance = StoreAllowance::new(0);
+    let mut rate_limit = StoreRateLimit::new(0);
     for now_ms in 0..30_000 {
         if now_ms % 7_000 == 0 {
-            allowance = StoreAllowance::new(now_ms);
+            rate_limit = StoreRateLimit::new(now_ms);
         }
-        allowance.set_rate(10.0);
-        if allowance.take(now_ms) {
+        rate_limit.set_rate(10.0);
+        if rate_limit.take(now_ms) {
             taken.push(now_ms);
         }
     }
     for start_ms in (0..25_000).step_by(100) {
         let within = |at_ms: &&u64| **at_ms >= start_ms && **at_ms < start_ms + window_ms;
-        assert!(taken.iter().filter(within).count() <= 53, "10 a second and three more");
+        assert!(
+            taken.iter().filter(within).count() <= 53,
+            "more than 10 loads per second plus a burst of three"
+        );
     }
 }
 
 #[test]
-fn what_is_used_often_gets_a_further_home_and_first_homes_go_before() {
+fn adapters_in_high_demand_get_additional_homes_after_first_homes() {
     let mut leader = Leader::new(8);
     leader.load(1);
     leader.add_endpoint("e2");
-    leader.uses("e1", 1, 1, 1);
-    assert!(leader.pass(10).is_empty(), "one home is enough for a few requests");
-    leader.uses("e1", 1, 40, 4);
+    leader.report_use("e1", 1, 1, 1);
+    assert!(leader.pass(10).is_empty(), "one home suffices for a few requests");
+    leader.report_use("e1", 1, 40, 4);
     leader.need(2);
     let orders = leader.pass(10);
     assert_eq!(orders[0].kind, OrderKind::Load { name: adapter(2), version: None });
@@ -366,10 +374,10 @@
 }
 
 #[test]
-fn an_adapter_goes_where_its_copy_is() {
+fn adapter_is_loaded_where_it_has_a_copy() {
     let mut leader = Leader::new(1);
     leader.load(1);
-    // Its only place goes to another adapter, so that nobody holds the first one any more.
+    // The endpoint has room for one adapter only, so adapter 2 replaces adapter 1.
     leader.now_ms += 1_000;
     leader.need(2);
     let unload = leader.next_order();
@@ -381,13 +389,13 @@
     for _ in 0..2 {
         leader.need(1);
         let order = leader.next_order();
-        assert_eq!(&*order.endpoint, "e1", "its copy loads ten times as fast");
+        assert_eq!(&*order.endpoint, "e1", "the local copy loads ten times as fast");
         leader.answer(&order, OrderOutcome::Done);
     }
 }
 
 #[test]
-fn a_copy_of_a_replaced_version_draws_no_load() {
+fn copy_of_a_replaced_version_attracts_no_load() {
     let mut chosen = std::collections::BTreeSet::new();
     for number in 1..=8 {
         let mut leader = Leader::new(1);
@@ -403,14 +411,14 @@
         leader.need(number);
         chosen.insert(leader.next_order().endpoint);
     }
-    assert_eq!(chosen.len(), 2, "the empty endpoint is as near to the store: {chosen:?}");
+    assert_eq!(chosen.len(), 2, "both endpoints have to load from the store: {chosen:?}");
 }
 
 #[test]
-fn a_copy_is_waited_for_while_its_endpoint_is_busy() {
+fn load_waits_for_a_busy_endpoint_with_a_copy() {
     let mut leader = Leader::new(1);
     leader.load(1);
-    assert!(leader.pass(1_000).is_empty(), "its request is served");
+    assert!(leader.pass(1_000).is_empty(), "the pending request is settled");
     leader.need(2);
     let unload = leader.next_order();
     leader.answer(&unload, OrderOutcome::Done);
@@ -420,11 +428,14 @@
     leader.need(1);
     let asks_store =
         |order: &EngineOrder| order.kind == OrderKind::Load { name: adapter(1), version: None };
-    assert!(!leader.pass(50).iter().any(asks_store), "the other endpoint has no copy of it");
+    assert!(
+        !leader.pass(50).iter().any(asks_store),
+        "the other endpoint has no copy of the adapter"
+    );
 }
 
 #[test]
-fn an_order_without_an_answer_does_not_hold_up_a_first_home() {
+fn unanswered_order_does_not_delay_a_first_home() {
     let mut leader = Leader::new(8);
     leader.add_endpoint("e2");
     leader.need(1);
@@ -437,61 +448,65 @@
 }
 
 #[test]
-fn the_store_gets_as_many_loads_at_once_as_do_not_slow_one_another() {
-    for (borne, start) in [(8, 12), (32, 18), (24, 24), (88, 90)] {
-        let mut limit = StoreLimit::new();
-        limit.start_from(start);
+fn store_limit_converges_to_the_capacity_of_the_store() {
+    for (capacity, start) in [(8, 12), (32, 18), (24, 24), (88, 90)] {
+        let mut limit = StoreConcurrencyLimit::new();
+        limit.raise_initial_limit(start);
         let name = adapter(1);
         for took_ms in [250, 262, 290, 270, 255, 251] {
-            limit.note(&name, took_ms, 3);
+            limit.record_load(&name, took_ms, 3);
         }
         for _ in 0..60 {
-            let at_once = limit.at_once();
-            let took_ms = 250 * at_once.max(borne) as u64 / borne as u64;
-            // Looking comes late, by up to a sixth.
+            let concurrent_max = limit.concurrent_max();
+            let took_ms = 250 * concurrent_max.max(capacity) as u64 / capacity as u64;
+            // Checks for completion are up to a sixth late.
             for late_ms in [0, 21, 41] {
-                limit.note(&name, took_ms + late_ms, at_once);
+                limit.record_load(&name, took_ms + late_ms, concurrent_max);
             }
         }
-        let settled = limit.at_once();
-        assert!((borne..=borne * 13 / 10 + 1).contains(&settled), "{borne}: {settled}");
+        let settled = limit.concurrent_max();
+        assert!((capacity..=capacity * 13 / 10 + 1).contains(&settled), "{capacity}: {settled}");
     }
 }
 
 #[test]
-fn a_store_that_serves_few_is_not_taken_for_one_that_gives_more_to_many() {
-    let mut limit = StoreLimit::new();
-    limit.start_from(24);
+fn store_limit_does_not_rise_at_low_concurrency() {
+    let mut limit = StoreConcurrencyLimit::new();
+    limit.raise_initial_limit(24);
     let name = adapter(1);
     for _ in 0..40 {
-        limit.note(&name, 260, 3);
+        limit.record_load(&name, 260, 3);
     }
-    assert_eq!(limit.at_once(), 24, "three loads say nothing about more of them");
+    assert_eq!(
+        limit.concurrent_max(),
+        24,
+        "three concurrent loads are no evidence for a higher limit"
+    );
 }
 
 #[test]
-fn copies_that_the_leader_forgot_do_not_close_the_store() {
-    let mut limit = StoreLimit::new();
-    limit.start_from(24);
+fn loads_from_unknown_copies_do_not_lower_the_store_limit() {
+    let mut limit = StoreConcurrencyLimit::new();
+    limit.raise_initial_limit(24);
     let name = adapter(1);
-    // After a change of leader, loads that seem to come from the store come from copies.
+    // After a change of leader, some loads attributed to the store come from unknown copies.
     for turn in 0..200 {
         let took_ms = if turn % 3 == 0 && turn < 60 { 38 } else { 265 };
-        // Demand comes and goes.
-        let beside = if turn % 4 == 0 { 3 } else { limit.at_once() };
-        limit.note(&name, took_ms, beside);
+        // Concurrency varies with demand.
+        let concurrent = if turn % 4 == 0 { 3 } else { limit.concurrent_max() };
+        limit.record_load(&name, took_ms, concurrent);
     }
-    assert!(limit.at_once() >= 24, "{}", limit.at_once());
-    assert!(limit.alone_ms(&name) > 200);
+    assert!(limit.concurrent_max() >= 24, "{}", limit.concurrent_max());
+    assert!(limit.baseline_ms(&name) > 200);
 }
 
 #[test]
-fn a_store_that_loads_faster_than_it_seemed_is_noticed() {
+fn faster_store_is_detected() {
     let mut leader = Leader::new(64);
     let mut done_after_ms = Vec::new();
     for number in 0..40 {
         // The first loads are slow, all later ones take 250 ms.
-        let takes_ms = if number < 6 { 400 } else { 250 };
+        let duration_ms = if number < 6 { 400 } else { 250 };
         leader.heartbeat("e1");
         leader.need(number);
         let mut order = leader.next_order();
@@ -499,7 +514,7 @@
         leader.answer(&order, OrderOutcome::UnderWay);
         loop {
             order = leader.next_order();
-            if leader.now_ms >= started_ms + takes_ms {
+            if leader.now_ms >= started_ms + duration_ms {
                 break;
             }
             leader.answer(&order, OrderOutcome::UnderWay);
@@ -508,44 +523,48 @@
         leader.answer(&order, OrderOutcome::Done);
     }
     let last_ms = done_after_ms[39];
-    assert!(last_ms <= 290, "seen late: {done_after_ms:?}");
+    assert!(last_ms <= 290, "completion was detected late: {done_after_ms:?}");
 }
 
 #[test]
-fn orders_that_are_carried_out_late_do_not_close_the_store() {
-    let mut limit = StoreLimit::new();
-    limit.start_from(90);
+fn orders_carried_out_late_do_not_lower_the_store_limit() {
+    let mut limit = StoreConcurrencyLimit::new();
+    limit.raise_initial_limit(90);
     let name = adapter(1);
     for turn in 0..300 {
-        // Engines carry a third of the orders out seconds later.
+        // Engines carry out a third of the orders seconds late.
         let took_ms = if turn % 3 == 2 { 4_000 } else { 260 };
-        limit.note(&name, took_ms, 40);
+        limit.record_load(&name, took_ms, 40);
     }
-    assert_eq!(limit.at_once(), 90, "the store slowed none of them");
+    assert_eq!(limit.concurrent_max(), 90, "the store slowed down no load");
 }
 
 #[test]
-fn a_load_whose_order_got_no_answer_tells_nothing_of_the_store() {
-    for (first, tells) in [(OrderOutcome::UnderWay, true), (OrderOutcome::Unknown, false)] {
-        let mut endpoint = EndpointPlaces::new(0, registered("e1", 7_000));
+fn load_with_an_unanswered_order_is_not_measured() {
+    for (first, is_measured) in [(OrderOutcome::UnderWay, true), (OrderOutcome::Unknown, false)] {
+        let mut endpoint = EndpointState::new(0, registered("e1", 7_000));
         let mut placed = Vec::new();
         let mut done = None;
         for (number, outcome) in
             [first, OrderOutcome::UnderWay, OrderOutcome::Done].into_iter().enumerate()
         {
             let (number, now_ms) = (number as u64, number as u64 * 100);
-            let store = StoreLoad { expected_ms: 250, beside: 1 };
+            let store = StoreLoad { expected_ms: 250, concurrent: 1 };
             endpoint.start_order(now_ms, number, &load_of(1), store, &mut placed);
             let result = OrderResult { number, endpoint: "e1".into(), kind: load_of(1), outcome };
             done = endpoint.ordered(now_ms + 50, &result, &mut placed);
         }
-        let done = done.expect("it is loaded");
-        assert_eq!(done.took_ms.is_some(), tells, "it may have begun long after the order");
+        let done = done.expect("the load is completed");
+        assert_eq!(
+            done.took_ms.is_some(),
+            is_measured,
+            "the load may have begun long after the order"
+        );
     }
 }
 
-/// What gateways were told last of an adapter at an endpoint.
-fn told_last(
+/// Returns what gateways were last told about an adapter at an endpoint.
+fn last_told(
     leader: &mut Leader,
     told: &mut Vec<Placed>,
     id: &str,
@@ -557,7 +576,7 @@
 }
 
 #[test]
-fn gateways_are_told_that_an_adapter_stays_whose_unload_was_not_sent() {
+fn gateways_learn_that_an_adapter_stays_when_its_unload_was_not_sent() {
     for outcome in [OrderOutcome::NotSent, OrderOutcome::Refused] {
         let mut leader = Leader::new(1);
         leader.load(1);
@@ -568,16 +587,20 @@
         assert_eq!(unload.kind, OrderKind::Unload { name: adapter(1) });
         leader.answer(&unload, outcome.clone());
         let mut told = Vec::new();
-        let last = told_last(&mut leader, &mut told, "e1", 1);
-        assert_eq!(last, Some(Holding::Ready(1)), "{outcome:?}: the leader counts it as a home");
+        let last = last_told(&mut leader, &mut told, "e1", 1);
+        assert_eq!(
+            last,
+            Some(Holding::Ready(1)),
+            "{outcome:?}: the leader still counts the endpoint as a home"
+        );
     }
 }
 
 #[test]
-fn no_model_gives_way_to_a_renewed_base_model() {
+fn renewed_base_model_evicts_no_other_model() {
     let mut leader = Leader::new(4);
     let mut configured = configuration(4);
-    let engine = configured.services[0].engine.as_mut().expect("a service of engines");
+    let engine = configured.services[0].engine.as_mut().expect("the service has an engine");
     let other = ModelSpec { name: "other".into(), ..engine.models[0].clone() };
     engine.models.push(other);
     leader.placement.configure(leader.now_ms, &configured);
@@ -599,12 +622,13 @@
         };
         leader.placement.used(leader.now_ms, &from, vec![used]);
         for order in leader.pass(20) {
-            assert_eq!(order.kind, OrderKind::Report, "what is held is served");
+            assert_eq!(order.kind, OrderKind::Report, "the loaded version is served");
         }
     }
 }
 
-/// When the last of `adapters` replaced adapters at each of `endpoints` endpoints is unloaded.
+/// Returns when the last of `adapters` replaced adapters at each of `endpoints` endpoints is
+/// unloaded.
 fn all_unloaded_after_ms(endpoints: usize, adapters: usize) -> u64 {
     let mut placement = Placement::new(0, PlacementSettings::default());
     placement.configure(0, &configuration(64));
@@ -621,13 +645,13 @@
     for number in 1..=adapters {
         holds.push(Weights { name: adapter(number), version: 1 });
     }
-    let named_at_ms = now_ms + 1_000;
-    let mut is_named = false;
+    let published_at_ms = now_ms + 1_000;
+    let mut is_published = false;
     let mut left = endpoints * adapters;
-    while left > 0 && now_ms < named_at_ms + 20_000 {
+    while left > 0 && now_ms < published_at_ms + 20_000 {
         now_ms += 20;
-        if now_ms >= named_at_ms && !is_named {
-            is_named = true;
+        if now_ms >= published_at_ms && !is_published {
+            is_published = true;
             for number in 1..=adapters {
                 placement.set_version(now_ms, adapter(number), 2);
             }
@@ -658,12 +682,12 @@
             }
         }
     }
-    assert_eq!(left, 0, "all are unloaded");
-    now_ms - named_at_ms
+    assert_eq!(left, 0, "all replaced adapters are unloaded");
+    now_ms - published_at_ms
 }
 
 #[test]
-fn replaced_versions_are_taken_away_in_time_wherever_and_however_many_they_are() {
+fn replaced_versions_are_unloaded_in_time_at_any_scale() {
     for (endpoints, adapters) in [(12, 2), (12, 18), (12_000, 2)] {
         let after_ms = all_unloaded_after_ms(endpoints, adapters);
         assert!(
@@ -674,7 +698,7 @@
 }
 
 #[test]
-fn a_renewed_adapter_that_fits_nowhere_else_takes_the_place_of_its_replaced_version() {
+fn renewed_adapter_replaces_its_old_version_when_no_other_endpoint_has_room() {
     let mut leader = Leader::new(1);
     leader.load(1);
     leader.add_endpoint("e2");
@@ -683,15 +707,15 @@
     assert_eq!((&*order.endpoint, order.kind.clone()), ("e2", load_of(2)));
     leader.answer(&order, OrderOutcome::Done);
     leader.now_ms += 400;
-    let named_at_ms = leader.now_ms;
-    leader.placement.set_version(named_at_ms, adapter(1), 2);
+    let published_at_ms = leader.now_ms;
+    leader.placement.set_version(published_at_ms, adapter(1), 2);
     let load = OrderKind::Load { name: adapter(1), version: Some(2) };
-    while leader.now_ms < named_at_ms + 10_000 {
+    while leader.now_ms < published_at_ms + 10_000 {
         leader.heartbeat("e1");
         leader.heartbeat("e2");
-        leader.uses("e2", 2, 0, 1);
+        leader.report_use("e2", 2, 0, 1);
         // Gateways no longer use the replaced version, and lack the newer one.
-        if leader.now_ms >= named_at_ms + 1_250 {
+        if leader.now_ms >= published_at_ms + 1_250 {
             leader.need(1);
         }
         for order in leader.pass(20) {
@@ -699,36 +723,39 @@
             let is_load = order.kind == load;
             leader.answer(&order, OrderOutcome::Done);
             if is_load {
-                let after_ms = leader.now_ms - named_at_ms;
-                assert!(after_ms < 1_500, "no home until {after_ms} ms after it was named");
+                let after_ms = leader.now_ms - published_at_ms;
+                assert!(
+                    after_ms < 1_500,
+                    "no home until {after_ms} ms after the version was published"
+                );
                 return;
             }
         }
     }
-    panic!("it is never loaded");
+    panic!("the newer version is never loaded");
 }
 
 #[test]
-fn a_copy_of_a_replaced_version_is_no_copy_of_the_newer_one() {
-    let takes_ms = 250;
+fn copy_of_a_replaced_version_does_not_count_as_a_copy_of_the_newer_one() {
+    let duration_ms = 250;
     let mut leader = Leader::new(64);
     for number in 0..12 {
         leader.heartbeat("e1");
         leader.need(number);
-        load_in(&mut leader, takes_ms);
+        complete_load(&mut leader, duration_ms);
     }
     leader.placement.set_version(leader.now_ms, adapter(1), 2);
     leader.need(1);
-    let orders = load_in(&mut leader, takes_ms);
-    assert!(orders <= 5, "{orders} orders for a load that comes from the store");
+    let orders = complete_load(&mut leader, duration_ms);
+    assert!(orders <= 5, "{orders} orders for a single load from the store");
 }
 
-/// Carries out the load that is ordered next; returns how many orders that took.
-fn load_in(leader: &mut Leader, takes_ms: u64) -> usize {
+/// Completes the next load after `duration_ms`; returns the number of orders for the load.
+fn complete_load(leader: &mut Leader, duration_ms: u64) -> usize {
     let mut order = leader.next_order();
     let started_ms = leader.now_ms;
     let mut orders = 1;
-    while leader.now_ms < started_ms + takes_ms {
+    while leader.now_ms < started_ms + duration_ms {
         leader.answer(&order, OrderOutcome::UnderWay);
         order = leader.next_order();
         orders += 1;
@@ -738,7 +765,7 @@
 }
 
 #[test]
-fn a_replaced_version_stays_for_as_long_as_settings_allow() {
+fn replaced_version_stays_for_the_configured_time() {
     let settings = PlacementSettings { version_within_ms: 60_000, ..PlacementSettings::default() };
     let mut placement = Placement::new(0, settings);
     placement.configure(0, &configuration(4));
@@ -748,12 +775,14 @@
     leader.add_endpoint("e2");
     leader.load(1);
     leader.placement.set_version(leader.now_ms, adapter(1), 2);
-    let (after_ms, _) = first_unload(&mut leader, 60_000).expect("it is unloaded");
+    let (after_ms, _) =
+        first_unload(&mut leader, 60_000).expect("the replaced version is unloaded");
     assert!((42_000..43_000).contains(&after_ms), "after {after_ms} ms of 60,000");
 }
 
-/// A renewed adapter on one endpoint and another adapter on, or on its way to, the only other place.
-fn renewed_without_another_place(is_loaded: bool) -> Leader {
+/// A renewed adapter on one endpoint, and another adapter, loaded or still loading, on the only
+/// other endpoint. Each endpoint has room for one adapter.
+fn renewed_without_room_elsewhere(is_loaded: bool) -> Leader {
     let mut leader = Leader::new(1);
     leader.load(1);
     leader.add_endpoint("e2");
@@ -768,8 +797,8 @@
 }
 
 #[test]
-fn a_replaced_version_keeps_its_place_while_another_endpoint_is_merely_busy() {
-    let mut leader = renewed_without_another_place(false);
+fn replaced_version_stays_loaded_while_another_endpoint_is_busy() {
+    let mut leader = renewed_without_room_elsewhere(false);
     for _ in 0..10 {
         leader.need(1);
         for order in leader.pass(20) {
@@ -779,14 +808,14 @@
 }
 
 #[test]
-fn a_replaced_version_keeps_its_place_while_gateways_use_it() {
-    let mut leader = renewed_without_another_place(true);
+fn replaced_version_stays_loaded_while_gateways_use_it() {
+    let mut leader = renewed_without_room_elsewhere(true);
     for _ in 0..50 {
         for id in ["e1", "e2"] {
             leader.heartbeat(id);
         }
-        leader.uses("e1", 1, 0, 1);
-        leader.uses("e2", 2, 0, 1);
+        leader.report_use("e1", 1, 0, 1);
+        leader.report_use("e2", 2, 0, 1);
         for order in leader.pass(20) {
             assert!(!matches!(order.kind, OrderKind::Unload { .. }), "{order:?}");
         }
@@ -794,7 +823,7 @@
 }
 
 #[test]
-fn an_older_version_that_is_seen_after_the_newer_one_was_named_is_replaced() {
+fn older_version_found_after_a_renewal_is_replaced() {
     let mut leader = Leader::new(4);
     leader.add_endpoint("e2");
     leader.placement.learn_version(leader.now_ms, adapter(1), 2);
@@ -803,7 +832,7 @@
     let holds = Some(vec![held(adapter(0).base(), 1), held(adapter(1), 1)]);
     let endpoint = registered("e1", 7_000 + u16::from(b'1'));
     leader.placement.observe(leader.now_ms, &Heartbeat { endpoint, sequence: 2, holds });
-    leader.uses("e1", 1, 3, 1);
+    leader.report_use("e1", 1, 3, 1);
     let load = OrderKind::Load { name: adapter(1), version: Some(2) };
     for _ in 0..50 {
         let orders = leader.pass(20);
@@ -814,5 +843,5 @@
             leader.answer(order, OrderOutcome::Done);
         }
     }
-    panic!("nobody gets the newest version in a second");
+    panic!("no endpoint was ordered to load the newest version within a second");
 }
