--- a/src/control/counts.rs
+++ b/src/control/counts.rs
@@ -1,4 +1,4 @@
-//! Adding up what gateways have under way at endpoints.
+//! Sums the loads that gateway sessions report, by endpoint.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -6,25 +6,25 @@
 use super::session::Session;
 use crate::message::{EndpointLoad, Load};
 
-/// How often all counts are added up anew, so that those of sessions which have ended are forgotten.
-const ALL_EVERY_MS: u64 = 1_000;
+/// How often all sums are recomputed, which drops loads of ended sessions.
+const FULL_SUM_INTERVAL_MS: u64 = 1_000;
 
-/// Which counts have changed since they were added up last.
+/// Tracks which endpoints' loads have changed since they were last summed.
 #[derive(Debug, Default)]
 pub struct Counts {
     changed: BTreeSet<Arc<str>>,
-    /// What was added up when all counts were.
+    /// The endpoints of the last full sum.
     all: BTreeSet<Arc<str>>,
-    all_due_ms: u64,
+    full_sum_due_ms: u64,
 }
 
 impl Counts {
-    /// Nothing counted yet.
+    /// Creates an empty tracker.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes what `session` tells of endpoints.
+    /// Records the loads reported by `session`.
     pub fn update(&mut self, session: &mut Session, loads: Vec<EndpointLoad>) {
         for EndpointLoad { endpoint, load } in loads {
             self.changed.insert(endpoint.clone());
@@ -32,37 +32,37 @@
         }
     }
 
-    /// Notes that an endpoint's count has changed elsewhere.
+    /// Marks an endpoint whose load changed outside of these sessions.
     pub fn mark_changed(&mut self, endpoint: &Arc<str>) {
         self.changed.insert(endpoint.clone());
     }
 
-    /// Forgets what a session that has ended told.
+    /// Marks the endpoints of a session that has ended.
     pub fn mark_session_ended(&mut self, session: &Session) {
         self.changed.extend(session.loads.keys().cloned());
     }
 
-    /// Adds everything up the next time, for a session that has just come.
+    /// Makes the next call of `totals` sum all loads, for a session that has just opened.
     pub fn mark_all_changed(&mut self) {
-        self.all_due_ms = 0;
+        self.full_sum_due_ms = 0;
     }
 
-    /// The sums over `sessions` of what has changed; now and then of everything, that which only
-    /// `elsewhere` names included.
+    /// Returns the sums over `sessions` for changed endpoints. Periodically sums all endpoints,
+    /// including those named only by `other_endpoints`.
     pub fn totals<'a>(
         &mut self,
         now_ms: u64,
         sessions: impl Iterator<Item = &'a Session> + Clone,
-        elsewhere: impl Iterator<Item = &'a Arc<str>>,
+        other_endpoints: impl Iterator<Item = &'a Arc<str>>,
     ) -> BTreeMap<Arc<str>, Load> {
         let mut due = std::mem::take(&mut self.changed);
-        if now_ms >= self.all_due_ms {
-            self.all_due_ms = now_ms + ALL_EVERY_MS;
-            let mut all: BTreeSet<Arc<str>> = elsewhere.cloned().collect();
+        if now_ms >= self.full_sum_due_ms {
+            self.full_sum_due_ms = now_ms + FULL_SUM_INTERVAL_MS;
+            let mut all: BTreeSet<Arc<str>> = other_endpoints.cloned().collect();
             for session in sessions.clone() {
                 all.extend(session.loads.keys().cloned());
             }
-            // Those that nobody names any more have to be told as nothing, once.
+            // Endpoints that no session reports any more are reported once, as idle.
             due.extend(std::mem::replace(&mut self.all, all.clone()));
             due.extend(all);
         }
--- a/src/control/distribution/link.rs
+++ b/src/control/distribution/link.rs
@@ -1,4 +1,4 @@
-//! The tasks around a distributor: its own loop, and the link to the leader.
+//! The tasks of a distributor: its event loop and the link to the leader.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,18 +15,18 @@
 use crate::message::{Heartbeat, SessionDown, SessionHello, SessionRole, SessionUp};
 use crate::wire::{Channel, Peer, Receiver, Sender};
 
-/// The period of renewals and counts is a multiple of this.
+/// The event loop's tick; renewals and load counts are sent in multiples of this.
 const TICK: Duration = Duration::from_millis(20);
-/// A leader that is silent this long is given up: it answers renewals every 150 ms, and the
-/// gateways here have to find another one in time for a change to be in force.
-const SILENCE_MS: u64 = 600;
-const SILENCE: Duration = Duration::from_millis(SILENCE_MS);
+/// A leader that is silent for this long loses the link. Leaders answer renewals every 150 ms, and
+/// gateways here must find another leader in time for changes to take effect.
+const SILENCE_TIMEOUT_MS: u64 = 600;
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(SILENCE_TIMEOUT_MS);
 const OPEN_TIMEOUT: Duration = Duration::from_millis(300);
-const PAUSE: Duration = Duration::from_millis(20);
-/// Messages that wait to be sent to the leader, at most.
-const QUEUE: usize = 1_024;
+const RETRY_PAUSE: Duration = Duration::from_millis(20);
+/// The maximum number of queued messages to the leader.
+const QUEUE_MAX: usize = 1_024;
 
-/// What the distributor's loop is told.
+/// A message to the distributor's event loop.
 #[derive(Debug)]
 enum Message {
     Open(u64, SessionHello, mpsc::Sender<SessionDown>),
@@ -39,44 +39,44 @@
     Dump(oneshot::Sender<serde_json::Value>),
 }
 
-/// What became of a heartbeat.
+/// The result of a heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeartbeatResult {
-    /// False when only the leader takes it.
+    /// False when only the leader can handle the heartbeat.
     pub accepted: bool,
-    /// The replica that takes the endpoint's next heartbeats best.
+    /// The replica to which the endpoint should send its next heartbeats.
     pub server: Option<SocketAddr>,
 }
 
-/// Where a distributor is reached within its process.
+/// A handle to the distributor of this process.
 #[derive(Debug, Clone)]
 pub struct DistributorHandle(mpsc::UnboundedSender<Message>);
 
 impl DistributorHandle {
-    /// A gateway opens a session; false when the process is about to end.
+    /// Opens a gateway's session; false when the process is shutting down.
     pub fn open(&self, id: u64, hello: SessionHello, down: mpsc::Sender<SessionDown>) -> bool {
         self.0.send(Message::Open(id, hello, down)).is_ok()
     }
 
-    /// A message of a session.
+    /// Passes on a message of a session; false when the process is shutting down.
     pub fn up(&self, id: u64, up: SessionUp) -> bool {
         self.0.send(Message::Up(id, up)).is_ok()
     }
 
-    /// A session's stream has ended.
+    /// Reports that a session's stream has ended.
     pub fn close(&self, id: u64) {
-        // A loop that has ended has no sessions either.
+        // An event loop that has ended has no sessions to close.
         let _ = self.0.send(Message::Close(id));
     }
 
-    /// Takes a heartbeat in; none when the process is about to end.
+    /// Passes on a heartbeat; `None` when the process is shutting down.
     pub async fn heartbeat(&self, heartbeat: Heartbeat) -> Option<HeartbeatResult> {
         let (reply, answer) = oneshot::channel();
         self.0.send(Message::Heartbeat(heartbeat, reply)).ok()?;
         answer.await.ok()
     }
 
-    /// The state dump; none when the process is about to end.
+    /// Returns the state dump; `None` when the process is shutting down.
     pub async fn dump(&self) -> Option<serde_json::Value> {
         let (reply, answer) = oneshot::channel();
         self.0.send(Message::Dump(reply)).ok()?;
@@ -84,9 +84,10 @@
     }
 }
 
-/// Starts a distributor that follows whichever replica `leader` names.
+/// Starts a distributor that follows the replica named by `leader`.
 ///
-/// `hello` is how it introduces itself; its address tells when this process leads.
+/// `hello` is sent to the leader when the link opens. Its address identifies this replica, which
+/// needs no link while it leads.
 pub fn spawn(
     hello: SessionHello,
     clock: Clock,
@@ -95,13 +96,13 @@
     let (queue, messages) = mpsc::unbounded_channel();
     let distributor = Distributor::new(hello.zone.clone());
     tokio::spawn(run(distributor, hello.address, clock, messages, leader.clone()));
-    tokio::spawn(keep_linked(hello, leader, queue.clone()));
+    tokio::spawn(maintain_link(hello, leader, queue.clone()));
     DistributorHandle(queue)
 }
 
 async fn run(
     mut distributor: Distributor,
-    own: SocketAddr,
+    own_address: SocketAddr,
     clock: Clock,
     mut messages: mpsc::UnboundedReceiver<Message>,
     leader: watch::Receiver<Option<SocketAddr>>,
@@ -113,12 +114,12 @@
             message = messages.recv() => {
                 let Some(message) = message else { return };
                 let leader = *leader.borrow();
-                take(&mut distributor, clock.now_ms(), message, leader);
+                handle_message(&mut distributor, clock.now_ms(), message, leader);
             }
             _ = ticks.tick() => {
-                if *leader.borrow() == Some(own) {
-                    // The sessions of a leader are its own.
-                    distributor.end_sessions(Some(own));
+                if *leader.borrow() == Some(own_address) {
+                    // The leader serves gateways in sessions of its own.
+                    distributor.end_sessions(Some(own_address));
                 }
                 distributor.tick(clock.now_ms());
             }
@@ -126,18 +127,23 @@
     }
 }
 
-fn take(distributor: &mut Distributor, now_ms: u64, message: Message, leader: Option<SocketAddr>) {
+fn handle_message(
+    distributor: &mut Distributor,
+    now_ms: u64,
+    message: Message,
+    leader: Option<SocketAddr>,
+) {
     match message {
         Message::Open(id, hello, down) => distributor.open(now_ms, id, hello, down, leader),
-        Message::Up(id, up) => distributor.up(now_ms, id, up),
+        Message::Up(id, up) => distributor.handle_session_message(now_ms, id, up),
         Message::Close(id) => distributor.close(id),
         Message::Linked(up) => distributor.linked(now_ms, up),
         Message::Unlinked => distributor.unlinked(now_ms),
-        Message::Down(down) => distributor.down(now_ms, down),
+        Message::Down(down) => distributor.handle_leader_message(now_ms, down),
         Message::Heartbeat(heartbeat, reply) => {
             let server = distributor.server_of(&heartbeat.endpoint.zone);
             let accepted = distributor.heartbeat(heartbeat);
-            // Nobody waits any more when the endpoint has gone elsewhere.
+            // The receiver is gone when the endpoint has turned to another replica.
             let _ = reply.send(HeartbeatResult { accepted, server });
         }
         Message::Dump(reply) => {
@@ -146,20 +152,20 @@
     }
 }
 
-/// Keeps a link to whoever leads, unless that is this process.
-async fn keep_linked(
+/// Keeps a link to the current leader, except while this process leads.
+async fn maintain_link(
     hello: SessionHello,
     mut leader: watch::Receiver<Option<SocketAddr>>,
     queue: mpsc::UnboundedSender<Message>,
 ) {
-    let own = hello.address;
+    let own_address = hello.address;
     let mut hint = None;
     loop {
         let known = hint.take().or(*leader.borrow_and_update());
-        match known.filter(|address| *address != own) {
+        match known.filter(|address| *address != own_address) {
             None => {
-                // Woken by a change, or to look again after a while.
-                let _ = timeout(SILENCE, leader.changed()).await;
+                // Waits for a new leader, and checks again after the timeout.
+                let _ = timeout(SILENCE_TIMEOUT, leader.changed()).await;
             }
             Some(address) => match follow(&hello, address, &queue).await {
                 Ok(next) => hint = next,
@@ -169,13 +175,13 @@
         if queue.send(Message::Unlinked).is_err() {
             return;
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
 }
 
 type Streams = (Sender<SessionUp>, Receiver<SessionDown>);
 
-/// Follows the replica at `address`; returns where the leader may be when it is another one.
+/// Follows the replica at `address`; returns the address of the leader if the replica names one.
 async fn follow(
     hello: &SessionHello,
     address: SocketAddr,
@@ -187,16 +193,16 @@
     let (mut sender, mut receiver): Streams =
         opened.map_err(|_| Error::timeout("open link", address.to_string(), limit_ms))??;
     send(&mut sender, &SessionUp::Hello(hello.clone())).await?;
-    let (up, mut ups) = mpsc::channel(QUEUE);
+    let (up, mut outgoing) = mpsc::channel(QUEUE_MAX);
     let mut up = Some(up);
     let clock = Clock::new();
-    let mut silent_at_ms = SILENCE_MS;
+    let mut silence_deadline_ms = SILENCE_TIMEOUT_MS;
     loop {
         tokio::select! {
             down = receiver.next() => {
-                silent_at_ms = clock.now_ms() + SILENCE_MS;
+                silence_deadline_ms = clock.now_ms() + SILENCE_TIMEOUT_MS;
                 let Some(down) = down? else {
-                    return Err(Error::failed("follow", address.to_string(), "the link ended"));
+                    return Err(Error::failed("follow", address.to_string(), "the link was closed"));
                 };
                 let message = match down {
                     SessionDown::NotLeader { leader } => return Ok(leader),
@@ -211,15 +217,15 @@
                     return Ok(None);
                 }
             }
-            Some(message) = ups.recv() => send(&mut sender, &message).await?,
-            () = clock.sleep_until(silent_at_ms) => {
-                return Err(Error::timeout("follow", address.to_string(), SILENCE_MS));
+            Some(message) = outgoing.recv() => send(&mut sender, &message).await?,
+            () = clock.sleep_until(silence_deadline_ms) => {
+                return Err(Error::timeout("follow", address.to_string(), SILENCE_TIMEOUT_MS));
             }
         }
     }
 }
 
-/// How a distributor introduces itself to the leader.
+/// The `SessionHello` of a distributor.
 pub fn hello(name: Arc<str>, boot_id: u64, zone: Arc<str>, address: SocketAddr) -> SessionHello {
     let role = SessionRole::Distributor;
     SessionHello { name, boot_id, zone, address, applied_index: 0, role, near_fails: false }
--- a/src/control/distribution/mod.rs
+++ b/src/control/distribution/mod.rs
@@ -1,10 +1,12 @@
-//! Passing on what the leader says to the gateways of one availability zone.
+//! Relays messages between the leader and the gateways of one availability zone.
 //!
-//! A replica that does not lead keeps one session with the leader, the *link*, and serves sessions of
-//! the gateways in its zone. What the leader tells crosses the zone's border once, and what the
-//! gateways tell goes up summed or gathered. The distributor confirms nothing by itself: a gateway's
-//! renewal is answered only when a renewal that the distributor sent later was confirmed by a
-//! majority, and what the leader told before that has then been passed on. Its disk is not involved.
+//! A replica that does not lead acts as a distributor: it keeps one session with the leader, the
+//! *link*, and serves sessions of the gateways in its zone. Each message of the leader thus crosses
+//! the zone boundary once, and messages of gateways are sent to the leader summed or batched.
+//!
+//! The distributor confirms nothing by itself: it answers a gateway's renewal only after a majority
+//! of replicas has confirmed a renewal that the distributor sent later. By then all earlier
+//! messages of the leader have been relayed. The distributor's disk is not involved.
 
 mod link;
 mod view;
@@ -28,57 +30,58 @@
 use crate::policy::quota::{DistributorPools, HolderGrant};
 use view::View;
 
-/// Renewals of gateways are gathered this long; a gateway renews every 300 ms and may order for a
-/// second after a confirmed renewal.
-const RENEW_GATHER_MS: u64 = 40;
-/// The leader is asked at least this often whether it is still there.
-const RENEW_MS: u64 = 150;
-/// Gateways are kept this long without a link: a leader that stops is followed by the next one within
-/// an election time and a half. Then they look for a leader themselves, who may be cut off from here.
+/// How long renewals of gateways are batched; a gateway renews every 300 ms and may send orders for
+/// one second after a confirmed renewal.
+const RENEW_BATCH_MS: u64 = 40;
+/// The maximum time between two renewals of the link, which detect a lost leader.
+const RENEW_INTERVAL_MAX_MS: u64 = 150;
+/// How long gateways are kept without a link: the next leader is elected and linked within one and
+/// a half election timeouts. After that gateways look for a leader themselves, since this replica
+/// may be partitioned from the leader.
 const UNLINKED_MAX_MS: u64 = 1_000;
 
-/// What a gateway waits for until the leader has confirmed a renewal.
+/// A reply that a gateway gets once the leader has confirmed a renewal of the link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Waiting {
-    /// To be told everything.
+enum AwaitedReply {
+    /// The welcome of a new session.
     Welcome { session: u64 },
-    /// For its own renewal.
+    /// The answer to a renewal of a gateway.
     Renewal { session: u64, sent_at_ms: u64 },
 }
 
-/// The gateways of one availability zone and the link to the leader.
+/// The gateway sessions of one availability zone and the link to the leader.
 ///
-/// It has no input or output but channels that never block.
+/// Does no I/O except through channels that never block.
 #[derive(Debug)]
 pub struct Distributor {
     zone: Arc<str>,
     view: View,
-    /// What a new leader has told so far, until it is everything.
+    /// The state sent by a new leader so far, until it is complete.
     incoming: Option<View>,
     sessions: BTreeMap<u64, Session>,
     link: Option<mpsc::Sender<SessionUp>>,
     unlinked_at_ms: Option<u64>,
-    /// What waits for the next renewal of the link.
-    waiting: Vec<Waiting>,
-    /// What waits for renewals that were sent, by their number.
-    sent: BTreeMap<u64, Vec<Waiting>>,
-    /// Renewals sent so far: the number of the last one.
+    /// Replies that wait for the next renewal of the link.
+    waiting: Vec<AwaitedReply>,
+    /// Replies that wait for renewals already sent, by renewal number.
+    sent: BTreeMap<u64, Vec<AwaitedReply>>,
+    /// The number of the last renewal sent.
     renewals: u64,
     renewed_at_ms: u64,
     counts_due_ms: u64,
-    /// What the leader was told last of the requests under way here, by endpoint.
-    loads_told: BTreeMap<Arc<str>, Load>,
+    /// The loads last reported to the leader, by endpoint.
+    reported_loads: BTreeMap<Arc<str>, Load>,
     counts: Counts,
-    /// What gateways told and the leader was not yet.
+    /// Messages of gateways that were not yet sent to the leader.
     forwarded: Vec<Forwarded>,
-    /// Heartbeats that the leader was not told of yet, the latest of each endpoint.
+    /// The latest heartbeat of each endpoint that was not yet sent to the leader.
     heartbeats: BTreeMap<Arc<str>, Heartbeat>,
-    /// Credit of workspaces, for the gateways here.
+    /// Quota credit of workspaces for the gateways of the zone.
     credit: DistributorPools,
 }
 
 impl Distributor {
-    /// Serves nobody yet, in `zone`.
+    /// Creates a distributor for `zone`, without sessions or a link.
     pub fn new(zone: Arc<str>) -> Self {
         Self {
             zone,
@@ -92,7 +95,7 @@
             renewals: 0,
             renewed_at_ms: 0,
             counts_due_ms: 0,
-            loads_told: BTreeMap::new(),
+            reported_loads: BTreeMap::new(),
             counts: Counts::new(),
             forwarded: Vec::new(),
             heartbeats: BTreeMap::new(),
@@ -100,7 +103,8 @@
         }
     }
 
-    /// Opens a gateway's session, or tells it where else to go: `leader` as far as that is known.
+    /// Opens a gateway's session, or redirects the gateway to a nearer server or the `leader` if
+    /// known.
     pub fn open(
         &mut self,
         now_ms: u64,
@@ -120,10 +124,10 @@
         }
         info!(event = "session_opened", gateway = %session.hello.name, session = id);
         self.sessions.insert(id, session);
-        self.waiting.push(Waiting::Welcome { session: id });
+        self.waiting.push(AwaitedReply::Welcome { session: id });
     }
 
-    /// Forgets a session whose stream has ended.
+    /// Removes a session whose stream has ended.
     pub fn close(&mut self, id: u64) {
         if let Some(session) = self.sessions.remove(&id) {
             info!(event = "session_closed", gateway = %session.hello.name);
@@ -132,13 +136,13 @@
         }
     }
 
-    /// Takes a gateway's message in.
-    pub fn up(&mut self, now_ms: u64, id: u64, up: SessionUp) {
+    /// Handles a message of a gateway.
+    pub fn handle_session_message(&mut self, now_ms: u64, id: u64, up: SessionUp) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         let gateway = session.hello.name.clone();
         match up {
             SessionUp::Renew { sent_at_ms, .. } => {
-                self.waiting.push(Waiting::Renewal { session: id, sent_at_ms });
+                self.waiting.push(AwaitedReply::Renewal { session: id, sent_at_ms });
             }
             SessionUp::Traffic { loads, used, failing } => {
                 self.counts.update(session, loads);
@@ -157,7 +161,7 @@
                 self.forwarded.push(Forwarded { gateway, up });
                 self.forward();
             }
-            SessionUp::CreditAsks(asks) => self.pass_credit(now_ms, id, &gateway, asks),
+            SessionUp::CreditAsks(asks) => self.answer_credit_asks(now_ms, id, &gateway, asks),
             SessionUp::Hello(_)
             | SessionUp::Leave
             | SessionUp::Release { .. }
@@ -170,55 +174,56 @@
         }
     }
 
-    /// Takes an endpoint's heartbeat in; false when it tells news, which only the leader takes.
+    /// Accepts an endpoint's heartbeat; false when its registration differs from the known one,
+    /// which only the leader handles.
     pub fn heartbeat(&mut self, heartbeat: Heartbeat) -> bool {
-        if self.link.is_none() || !self.view.knows(&heartbeat.endpoint) {
+        if self.link.is_none() || !self.view.has_registration(&heartbeat.endpoint) {
             return false;
         }
         self.heartbeats.insert(heartbeat.endpoint.id.clone(), heartbeat);
         true
     }
 
-    /// The replica that takes heartbeats of endpoints in `zone` best.
+    /// The replica that should receive heartbeats of endpoints in `zone`.
     pub fn server_of(&self, zone: &str) -> Option<SocketAddr> {
         self.view.group.server_of(zone)
     }
 
-    /// A leader has welcomed the link `up`; everything that it knows follows.
+    /// Handles a link `up` that was welcomed by a leader, whose full state follows.
     pub fn linked(&mut self, now_ms: u64, up: mpsc::Sender<SessionUp>) {
         info!(event = "link_opened", sessions = self.sessions.len());
         self.link = Some(up);
         self.unlinked_at_ms = None;
         self.incoming = Some(View::with_group(self.view.group.clone()));
-        self.loads_told.clear();
+        self.reported_loads.clear();
         self.counts.mark_all_changed();
         self.renewed_at_ms = now_ms;
         self.credit.linked();
         self.ask_for_credit(now_ms);
-        // Another leader knows nothing of what these use.
-        self.tell(|| SessionDown::Welcome { epoch: 0 });
+        // The new leader has no record of the weights in use, so gateways report them again.
+        self.broadcast(|| SessionDown::Welcome { epoch: 0 });
     }
 
-    /// The link has ended.
+    /// Handles the end of the link.
     pub fn unlinked(&mut self, now_ms: u64) {
         if self.link.take().is_some() {
             warn!(event = "link_lost", sessions = self.sessions.len());
             self.unlinked_at_ms = Some(now_ms);
             self.credit.unlinked();
-            // Endpoints tell again; by the time of the next link these may be wrong.
+            // Endpoints send heartbeats again; these may be outdated by the time of the next link.
             self.heartbeats.clear();
-            // Whoever leads next confirms what was not confirmed.
+            // The next leader confirms renewals that were not confirmed yet.
             for waiting in std::mem::take(&mut self.sent).into_values() {
                 self.waiting.extend(waiting);
             }
         }
     }
 
-    /// Takes a message of the leader in.
-    pub fn down(&mut self, now_ms: u64, down: SessionDown) {
+    /// Handles a message of the leader.
+    pub fn handle_leader_message(&mut self, now_ms: u64, down: SessionDown) {
         match down {
             SessionDown::Changes { index, complete, changes, .. } => {
-                self.change(index, complete, changes);
+                self.apply_changes(index, complete, changes);
             }
             SessionDown::Placed { placed, .. } => self.place(placed),
             SessionDown::Loads(loads) => {
@@ -229,14 +234,14 @@
             }
             SessionDown::Group(group) => {
                 self.view.group = group;
-                let group = self.group_here();
-                self.tell(|| SessionDown::Group(group.clone()));
+                let group = self.local_group();
+                self.broadcast(|| SessionDown::Group(group.clone()));
             }
-            SessionDown::RenewedFor { number } => self.renewed(number),
-            SessionDown::Order(order) => self.pass_order(order),
+            SessionDown::RenewedFor { number } => self.confirm_renewal(number),
+            SessionDown::Order(order) => self.forward_order(order),
             SessionDown::Credit(grants) => {
                 let answers = self.credit.granted(now_ms, grants);
-                self.tell_credit(answers);
+                self.deliver_credit(answers);
                 self.ask_for_credit(now_ms);
             }
             SessionDown::Welcome { .. }
@@ -249,7 +254,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Runs the periodic work that is due.
     pub fn tick(&mut self, now_ms: u64) {
         if self.unlinked_at_ms.is_some_and(|at_ms| at_ms + UNLINKED_MAX_MS <= now_ms) {
             self.unlinked_at_ms = None;
@@ -260,13 +265,13 @@
             return;
         }
         self.counts_due_ms = now_ms + counts::period_ms(self.sessions.len());
-        self.tell_loads(now_ms);
+        self.broadcast_loads(now_ms);
         self.forward();
         self.forward_heartbeats();
         self.ask_for_credit(now_ms);
     }
 
-    /// Sends all gateways elsewhere: to `leader`, or to look for one.
+    /// Closes all sessions and redirects their gateways to `leader`, if known.
     pub fn end_sessions(&mut self, leader: Option<SocketAddr>) {
         self.waiting.clear();
         self.sent.clear();
@@ -281,8 +286,9 @@
     }
 
     fn renew(&mut self, now_ms: u64) {
-        let gather_ms = if self.waiting.is_empty() { RENEW_MS } else { RENEW_GATHER_MS };
-        if self.link.is_none() || now_ms < self.renewed_at_ms + gather_ms {
+        let interval_ms =
+            if self.waiting.is_empty() { RENEW_INTERVAL_MAX_MS } else { RENEW_BATCH_MS };
+        if self.link.is_none() || now_ms < self.renewed_at_ms + interval_ms {
             return;
         }
         self.renewed_at_ms = now_ms;
@@ -290,7 +296,7 @@
         let waiting = std::mem::take(&mut self.waiting);
         let mut gateways = Vec::new();
         for wait in &waiting {
-            let Waiting::Renewal { session, .. } = wait else { continue };
+            let AwaitedReply::Renewal { session, .. } = wait else { continue };
             let Some(session) = self.sessions.get(session) else { continue };
             gateways.push(session.hello.name.clone());
         }
@@ -298,12 +304,12 @@
         self.send_up(SessionUp::RenewFor { number: self.renewals, gateways });
     }
 
-    fn renewed(&mut self, number: u64) {
+    fn confirm_renewal(&mut self, number: u64) {
         let Some(waiting) = self.sent.remove(&number) else { return };
         for wait in waiting {
             match wait {
-                Waiting::Welcome { session } => self.welcome(session),
-                Waiting::Renewal { session, sent_at_ms } => {
+                AwaitedReply::Welcome { session } => self.welcome(session),
+                AwaitedReply::Renewal { session, sent_at_ms } => {
                     let Some(session) = self.sessions.get(&session) else { continue };
                     let (summaries, load_reports) = (Vec::new(), Vec::new());
                     let index = 0;
@@ -321,7 +327,7 @@
     fn welcome(&mut self, id: u64) {
         let changes = self.view.all_changes();
         let placed = self.view.all_placed();
-        let group = self.group_here();
+        let group = self.local_group();
         let Some(session) = self.sessions.get_mut(&id) else { return };
         session.epoch = Some(0);
         self.counts.mark_all_changed();
@@ -334,24 +340,29 @@
         }
     }
 
-    fn change(&mut self, index: u64, complete: bool, changes: Vec<Change>) {
+    fn apply_changes(&mut self, index: u64, complete: bool, changes: Vec<Change>) {
         if let Some(incoming) = &mut self.incoming {
-            incoming.change(&changes);
+            incoming.apply_changes(&changes);
             return;
         }
-        self.view.change(&changes);
+        self.view.apply_changes(&changes);
         let reset = false;
-        self.tell(|| SessionDown::Changes { index, reset, complete, changes: changes.clone() });
+        self.broadcast(|| SessionDown::Changes {
+            index,
+            reset,
+            complete,
+            changes: changes.clone(),
+        });
     }
 
     fn place(&mut self, placed: Vec<Placed>) {
         let Some(mut incoming) = self.incoming.take() else {
             self.view.place(&placed);
-            self.tell(|| SessionDown::Placed { reset: false, placed: placed.clone() });
+            self.broadcast(|| SessionDown::Placed { reset: false, placed: placed.clone() });
             return;
         };
-        // Placements are the last of what a leader tells at first. Gateways that were told by an
-        // earlier leader are told the differences.
+        // Placements complete a new leader's initial state. Gateways that know the previous
+        // leader's state get only the differences.
         incoming.place(&placed);
         let changes = self.view.changes_to(&incoming);
         let placed = self.view.placed_to(&incoming);
@@ -363,7 +374,7 @@
         });
     }
 
-    fn pass_order(&mut self, order: EngineOrder) {
+    fn forward_order(&mut self, order: EngineOrder) {
         for session in self.sessions.values() {
             if session.epoch.is_none() || session.hello.name != order.holder {
                 continue;
@@ -379,8 +390,14 @@
         self.forward();
     }
 
-    /// Answers a gateway's asks for credit, as far as the leader need not be asked first.
-    fn pass_credit(&mut self, now_ms: u64, id: u64, gateway: &Arc<str>, asks: Vec<CreditAsk>) {
+    /// Answers a gateway's requests for credit where the leader need not be asked first.
+    fn answer_credit_asks(
+        &mut self,
+        now_ms: u64,
+        id: u64,
+        gateway: &Arc<str>,
+        asks: Vec<CreditAsk>,
+    ) {
         let mut grants = Vec::new();
         for ask in asks {
             grants.extend(self.credit.ask(now_ms, gateway, ask));
@@ -393,8 +410,8 @@
         self.ask_for_credit(now_ms);
     }
 
-    /// Tells gateways what they waited for.
-    fn tell_credit(&mut self, answers: Vec<HolderGrant>) {
+    /// Sends granted credit to the gateways that wait for it.
+    fn deliver_credit(&mut self, answers: Vec<HolderGrant>) {
         let mut by_holder: BTreeMap<Arc<str>, Vec<CreditGrant>> = BTreeMap::new();
         for HolderGrant { holder, grant } in answers {
             by_holder.entry(holder).or_default().push(grant);
@@ -415,28 +432,28 @@
         }
     }
 
-    fn tell_loads(&mut self, now_ms: u64) {
-        let own = self.counts.totals(now_ms, self.sessions.values(), self.view.counted());
+    fn broadcast_loads(&mut self, now_ms: u64) {
+        let own = self.counts.totals(now_ms, self.sessions.values(), self.view.remote_endpoints());
         let mut totals = own.clone();
         for (endpoint, total) in &mut totals {
-            *total = total.plus(self.view.others(endpoint));
+            *total = total.plus(self.view.remote_load(endpoint));
         }
         for session in self.sessions.values_mut() {
             if session.epoch.is_some() {
                 session.tell_loads(&totals);
             }
         }
-        self.tell_own_loads(own);
+        self.report_own_loads(own);
     }
 
-    /// Tells the leader what all gateways here have under way, where that changed.
-    fn tell_own_loads(&mut self, own: BTreeMap<Arc<str>, Load>) {
+    /// Reports the summed loads of the gateways here to the leader, where they changed.
+    fn report_own_loads(&mut self, own: BTreeMap<Arc<str>, Load>) {
         let mut loads = Vec::new();
         for (endpoint, load) in own {
-            if self.loads_told.get(&endpoint).copied().unwrap_or_default() == load {
+            if self.reported_loads.get(&endpoint).copied().unwrap_or_default() == load {
                 continue;
             }
-            self.loads_told.insert(endpoint.clone(), load);
+            self.reported_loads.insert(endpoint.clone(), load);
             loads.push(EndpointLoad { endpoint, load });
         }
         if !loads.is_empty() {
@@ -446,7 +463,8 @@
     }
 
     fn forward(&mut self) {
-        // Without a link it waits for the next leader; the gateways leave before it becomes much.
+        // Without a link, messages are kept for the next leader; gateways are redirected before
+        // many accumulate.
         if self.link.is_some() && !self.forwarded.is_empty() {
             let forwarded = std::mem::take(&mut self.forwarded);
             self.send_up(SessionUp::Forwarded(forwarded));
@@ -460,7 +478,8 @@
         }
     }
 
-    /// Sends to the leader; a leader that does not keep up is given up when it stops answering.
+    /// Sends a message to the leader. Messages are dropped while the queue is full; a leader that
+    /// stops answering loses the link.
     fn send_up(&mut self, up: SessionUp) {
         let Some(link) = &self.link else { return };
         if let Err(error) = link.try_send(up) {
@@ -468,13 +487,13 @@
         }
     }
 
-    /// The group as gateways here are told of it.
-    fn group_here(&self) -> Group {
+    /// The group with the reporting period for the gateways here.
+    fn local_group(&self) -> Group {
         let period_ms = counts::period_ms(self.sessions.len());
         Group { counts_every_ms: period_ms as u32, ..self.view.group.clone() }
     }
 
-    fn tell(&mut self, message: impl Fn() -> SessionDown) {
+    fn broadcast(&mut self, message: impl Fn() -> SessionDown) {
         self.sessions.retain(|_, session| {
             let keeps_up = session.epoch.is_none() || session.send(message());
             if !keeps_up {
@@ -484,7 +503,7 @@
         });
     }
 
-    /// The state dump.
+    /// Returns the state dump.
     pub fn dump(&self) -> serde_json::Value {
         let mut gateways = Vec::new();
         for session in self.sessions.values() {
--- a/src/control/distribution/view.rs
+++ b/src/control/distribution/view.rs
@@ -1,4 +1,4 @@
-//! What a distributor knows of what the leader told, for gateways that come later.
+//! A distributor's copy of the leader's state, for gateways that connect later.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 };
 use crate::routing::RoutingConfiguration;
 
-/// Routes, endpoints, versions, placements and counts, as the leader told them.
+/// Routes, endpoints, versions, placements and loads, as received from the leader.
 #[derive(Debug, Default)]
 pub(super) struct View {
     routing: Option<Arc<RoutingConfiguration>>,
@@ -17,20 +17,20 @@
     versions: BTreeMap<WeightsName, u64>,
     standings: BTreeMap<RequestKey, RequestStanding>,
     placed: BTreeMap<(Arc<str>, WeightsName), Holding>,
-    /// What gateways of other availability zones have under way, by endpoint.
-    others: HashMap<Arc<str>, Load>,
-    /// The replicas and gateways.
+    /// The loads of gateways in other availability zones, by endpoint.
+    remote_loads: HashMap<Arc<str>, Load>,
+    /// The replicas and gateways of the deployment.
     pub(super) group: Group,
 }
 
 impl View {
-    /// Nothing but who the replicas and gateways are.
+    /// Creates a view in which only the group is known.
     pub(super) fn with_group(group: Group) -> Self {
         Self { group, ..Self::default() }
     }
 
-    /// Takes changes over.
-    pub(super) fn change(&mut self, changes: &[Change]) {
+    /// Applies changes.
+    pub(super) fn apply_changes(&mut self, changes: &[Change]) {
         for change in changes {
             match change {
                 Change::Routing(routing) => self.routing = Some(routing.clone()),
@@ -39,7 +39,7 @@
                 }
                 Change::Deregistered(id) => {
                     self.endpoints.remove(id);
-                    self.others.remove(id);
+                    self.remote_loads.remove(id);
                     self.placed.retain(|(endpoint, _), _| endpoint != id);
                 }
                 Change::Version(newest) | Change::VersionOfUnknownAge(newest) => {
@@ -52,7 +52,7 @@
                         self.standings.insert(standing.key, standing.clone());
                     }
                 }
-                // Owners, which these are for, follow the leader itself.
+                // These changes concern owners, which follow the leader directly.
                 Change::Service(_)
                 | Change::ServiceRetired(_)
                 | Change::Endpoint(_)
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Takes over what endpoints hold.
+    /// Applies changes of what endpoints hold.
     pub(super) fn place(&mut self, placed: &[Placed]) {
         for Placed { endpoint, name, holding } in placed {
             let key = (endpoint.clone(), name.clone());
@@ -74,24 +74,24 @@
         }
     }
 
-    /// Takes over what gateways of other availability zones have under way.
+    /// Records the loads of gateways in other availability zones.
     pub(super) fn note_loads(&mut self, loads: Vec<EndpointLoad>) {
         for EndpointLoad { endpoint, load } in loads {
-            self.others.insert(endpoint, load);
+            self.remote_loads.insert(endpoint, load);
         }
     }
 
-    /// What gateways of other availability zones have under way at an endpoint.
-    pub(super) fn others(&self, endpoint: &str) -> Load {
-        self.others.get(endpoint).copied().unwrap_or_default()
+    /// The load of gateways in other availability zones at an endpoint.
+    pub(super) fn remote_load(&self, endpoint: &str) -> Load {
+        self.remote_loads.get(endpoint).copied().unwrap_or_default()
     }
 
-    /// The endpoints at which gateways of other availability zones have, or had, something under way.
-    pub(super) fn counted(&self) -> impl Iterator<Item = &Arc<str>> {
-        self.others.keys()
+    /// The endpoints for which gateways of other availability zones have reported a load.
+    pub(super) fn remote_endpoints(&self) -> impl Iterator<Item = &Arc<str>> {
+        self.remote_loads.keys()
     }
 
-    /// What leads from here to `next`, as changes.
+    /// Returns the changes that turn this view into `next`.
     pub(super) fn changes_to(&self, next: &Self) -> Vec<Change> {
         let mut changes = Vec::new();
         for (name, version) in &next.versions {
@@ -129,38 +129,38 @@
         changes
     }
 
-    /// What leads from here to what endpoints hold in `next`.
+    /// Returns the placement changes that turn this view into `next`.
     pub(super) fn placed_to(&self, next: &Self) -> Vec<Placed> {
         let mut placed = Vec::new();
         for (key, holding) in &next.placed {
             if self.placed.get(key) != Some(holding) {
-                placed.push(describe(key, *holding));
+                placed.push(to_placed(key, *holding));
             }
         }
         for key in self.placed.keys() {
             if !next.placed.contains_key(key) {
-                placed.push(describe(key, Holding::Gone));
+                placed.push(to_placed(key, Holding::Gone));
             }
         }
         placed
     }
 
-    /// Everything as changes, for a gateway that knows nothing.
+    /// Returns the whole view as changes, for a gateway without any state.
     pub(super) fn all_changes(&self) -> Vec<Change> {
         Self::default().changes_to(self)
     }
 
-    /// Everything that endpoints hold.
+    /// Returns everything that endpoints hold.
     pub(super) fn all_placed(&self) -> Vec<Placed> {
         Self::default().placed_to(self)
     }
 
-    /// True when the endpoint is known just so.
-    pub(super) fn knows(&self, endpoint: &RegisteredEndpoint) -> bool {
+    /// True when the endpoint is registered with exactly these attributes.
+    pub(super) fn has_registration(&self, endpoint: &RegisteredEndpoint) -> bool {
         self.endpoints.get(&endpoint.id) == Some(endpoint)
     }
 }
 
-fn describe((endpoint, name): &(Arc<str>, WeightsName), holding: Holding) -> Placed {
+fn to_placed((endpoint, name): &(Arc<str>, WeightsName), holding: Holding) -> Placed {
     Placed { endpoint: endpoint.clone(), name: name.clone(), holding }
 }
--- a/tests/counts.rs
+++ b/tests/counts.rs
@@ -1,4 +1,4 @@
-//! Counts of what is under way: how often they are told, and how they are added up.
+//! Tests of how loads are summed and how often they are reported.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,18 +19,18 @@
     EndpointLoad { endpoint: endpoint.into(), load: Load { running, ..Load::default() } }
 }
 
-/// The sums that are due, by endpoint.
+/// Returns the running requests in the sums that are due, by endpoint.
 fn due(counts: &mut Counts, now_ms: u64, sessions: &[Session]) -> BTreeMap<String, u32> {
-    let elsewhere: [Arc<str>; 0] = [];
+    let other_endpoints: [Arc<str>; 0] = [];
     let mut due = BTreeMap::new();
-    for (endpoint, load) in counts.totals(now_ms, sessions.iter(), elsewhere.iter()) {
+    for (endpoint, load) in counts.totals(now_ms, sessions.iter(), other_endpoints.iter()) {
         due.insert(endpoint.to_string(), load.running);
     }
     due
 }
 
 #[test]
-fn only_what_changed_is_added_up_between_full_rounds() {
+fn only_changed_loads_are_summed_between_full_sums() {
     let mut counts = Counts::new();
     let mut sessions = [session(), session()];
     counts.update(&mut sessions[0], vec![running("e1", 1), running("e2", 2)]);
@@ -40,19 +40,23 @@
     counts.update(&mut sessions[1], vec![running("e1", 0)]);
     assert_eq!(due(&mut counts, 60, &sessions), BTreeMap::from([("e1".to_owned(), 1)]));
     assert!(due(&mut counts, 120, &sessions).is_empty());
-    assert_eq!(due(&mut counts, 1_000, &sessions).len(), 2, "now and then everything is");
+    assert_eq!(
+        due(&mut counts, 1_000, &sessions).len(),
+        2,
+        "all endpoints are summed periodically"
+    );
 }
 
 #[test]
-fn what_an_ended_session_told_is_forgotten() {
+fn loads_of_an_ended_session_are_dropped() {
     let mut counts = Counts::new();
     let mut sessions = vec![session(), session()];
     counts.update(&mut sessions[1], vec![running("e1", 4)]);
     due(&mut counts, 0, &sessions);
-    let ended = sessions.pop().expect("there are two");
+    let ended = sessions.pop().expect("there are two sessions");
     counts.mark_session_ended(&ended);
     assert_eq!(due(&mut counts, 60, &sessions), BTreeMap::from([("e1".to_owned(), 0)]));
-    // Also when nobody said that it had ended.
+    // Loads are dropped also when the end of their session was not reported.
     let mut sessions = vec![session(), session()];
     counts.update(&mut sessions[1], vec![running("e3", 4)]);
     due(&mut counts, 1_000, &sessions);
@@ -62,7 +66,7 @@
 }
 
 #[test]
-fn few_gateways_tell_counts_often_and_many_do_not_flood_the_leader() {
+fn reporting_period_grows_with_the_number_of_gateways() {
     assert_eq!(period_ms(0), 40);
     assert_eq!(period_ms(6), 40);
     assert_eq!(period_ms(75), 105);
@@ -73,7 +77,7 @@
 }
 
 #[test]
-fn differences_that_change_no_choice_are_not_told() {
+fn insignificant_load_differences_are_not_reported() {
     let load =
         |running, waiting_ms, late_ms| Load { running, waiting_ms, late_ms, demand_per_min: 0 };
     assert!(!is_worth_telling(load(3, 100, 0), load(3, 100, 0)));
--- a/tests/distribution.rs
+++ b/tests/distribution.rs
@@ -1,4 +1,5 @@
-//! Distributors: what gateways of a zone are told, by whom it was confirmed, and where they go.
+//! Tests of what a distributor relays to its gateways, when it confirms renewals, and where it
+//! redirects gateways.
 
 mod common;
 
@@ -16,9 +17,9 @@
     SessionServer, SessionUp, Standing, WeightsName, WeightsUse,
 };
 
-/// Renewals of gateways are gathered at most this long.
-const GATHERED_MS: u64 = 60;
-/// Gateways are kept this long without a link.
+/// Renewals of gateways are batched for at most this long.
+const BATCHED_MS: u64 = 60;
+/// Gateways are kept without a link for this long.
 const UNLINKED_MAX_MS: u64 = 1_000;
 
 fn address(last: u8) -> SocketAddr {
@@ -59,7 +60,8 @@
 }
 
 impl Zone {
-    /// Linked to a leader that told one route's configuration and two endpoints.
+    /// A distributor linked to a leader that sent a routing configuration, two endpoints, a version
+    /// and a placement.
     fn linked() -> Self {
         let (_, link) = mpsc::channel(1);
         let distributor = Distributor::new("a".into());
@@ -88,7 +90,7 @@
     }
 
     fn down(&mut self, down: SessionDown) {
-        self.distributor.down(self.now_ms, down);
+        self.distributor.handle_leader_message(self.now_ms, down);
     }
 
     fn open(&mut self, id: u64, name: &str, zone: &str) {
@@ -104,29 +106,29 @@
         }
     }
 
-    /// What was sent to the leader.
-    fn told_leader(&mut self) -> Vec<SessionUp> {
-        let mut told = Vec::new();
+    /// Returns the messages sent to the leader.
+    fn sent_to_leader(&mut self) -> Vec<SessionUp> {
+        let mut received = Vec::new();
         while let Ok(up) = self.link.try_recv() {
-            told.push(up);
+            received.push(up);
         }
-        told
+        received
     }
 
-    /// What the gateway of session `id` was told.
-    fn told(&mut self, id: u64) -> Vec<SessionDown> {
-        let queue = self.gateways.get_mut(&id).expect("it was opened");
-        let mut told = Vec::new();
+    /// Returns the messages sent to the gateway of session `id`.
+    fn received(&mut self, id: u64) -> Vec<SessionDown> {
+        let queue = self.gateways.get_mut(&id).expect("the session was opened");
+        let mut received = Vec::new();
         while let Ok(down) = queue.try_recv() {
-            told.push(down);
+            received.push(down);
         }
-        told
+        received
     }
 
-    /// Lets the leader confirm all renewals that were sent so far; returns the gateways in them.
+    /// Confirms all renewals sent so far; returns the gateways in them.
     fn confirm(&mut self) -> Vec<Arc<str>> {
         let mut renewed = Vec::new();
-        for up in self.told_leader() {
+        for up in self.sent_to_leader() {
             let SessionUp::RenewFor { number, gateways } = up else { continue };
             renewed.extend(gateways);
             self.down(SessionDown::RenewedFor { number });
@@ -134,13 +136,13 @@
         renewed
     }
 
-    /// Opens a session and brings it to its welcome.
+    /// Opens a session and completes its welcome.
     fn welcome(&mut self, id: u64, name: &str) {
         self.open(id, name, "a");
-        self.advance(GATHERED_MS);
+        self.advance(BATCHED_MS);
         self.confirm();
-        let told = self.told(id);
-        assert!(matches!(told.first(), Some(SessionDown::Welcome { .. })), "{told:?}");
+        let received = self.received(id);
+        assert!(matches!(received.first(), Some(SessionDown::Welcome { .. })), "{received:?}");
     }
 }
 
@@ -148,23 +150,23 @@
     Placed { endpoint: endpoint.into(), name: weights(adapter), holding }
 }
 
-fn is_renewed(told: &[SessionDown], value_ms: u64) -> bool {
-    told.iter().any(
+fn is_renewed(received: &[SessionDown], value_ms: u64) -> bool {
+    received.iter().any(
         |down| matches!(down, SessionDown::Renewed { sent_at_ms, .. } if *sent_at_ms == value_ms),
     )
 }
 
 #[test]
-fn a_gateway_is_told_everything_once_a_majority_has_confirmed() {
+fn gateway_gets_the_full_state_after_majority_confirmation() {
     let mut zone = Zone::linked();
     zone.open(1, "g1", "a");
-    zone.advance(GATHERED_MS);
-    assert!(zone.told(1).is_empty(), "the leader may have been replaced");
+    zone.advance(BATCHED_MS);
+    assert!(zone.received(1).is_empty(), "the leader may have been replaced");
     zone.confirm();
-    let told = zone.told(1);
-    let [SessionDown::Welcome { .. }, changes, all_placed, SessionDown::Group(_)] = &told[..]
+    let received = zone.received(1);
+    let [SessionDown::Welcome { .. }, changes, all_placed, SessionDown::Group(_)] = &received[..]
     else {
-        panic!("{told:?}");
+        panic!("{received:?}");
     };
     let SessionDown::Changes { reset: true, complete: true, changes, .. } = changes else {
         panic!("{changes:?}");
@@ -175,55 +177,67 @@
 }
 
 #[test]
-fn a_renewal_is_answered_after_one_that_was_sent_later() {
+fn renewal_is_answered_only_after_a_later_one_is_confirmed() {
     let mut zone = Zone::linked();
     zone.welcome(1, "g1");
     zone.advance(200);
-    let sent_before = zone.told_leader();
-    zone.distributor.up(0, 1, SessionUp::Renew { sent_at_ms: 77, summaries: Vec::new() });
+    let sent_before = zone.sent_to_leader();
+    zone.distributor.handle_session_message(
+        0,
+        1,
+        SessionUp::Renew { sent_at_ms: 77, summaries: Vec::new() },
+    );
     for up in sent_before {
         let SessionUp::RenewFor { number, .. } = up else { continue };
         zone.down(SessionDown::RenewedFor { number });
     }
-    assert!(!is_renewed(&zone.told(1), 77), "that one was sent before");
-    zone.advance(GATHERED_MS);
+    assert!(!is_renewed(&zone.received(1), 77), "the confirmed renewal was sent earlier");
+    zone.advance(BATCHED_MS);
     assert_eq!(zone.confirm(), [Arc::from("g1")]);
-    assert!(is_renewed(&zone.told(1), 77));
+    assert!(is_renewed(&zone.received(1), 77));
 }
 
 #[test]
-fn a_former_leader_confirms_nothing_after_the_next_one_is_linked() {
+fn confirmations_of_a_former_leader_are_ignored() {
     let mut zone = Zone::linked();
     zone.welcome(1, "g1");
-    zone.distributor.up(0, 1, SessionUp::Renew { sent_at_ms: 78, summaries: Vec::new() });
-    zone.advance(GATHERED_MS);
-    let before = zone.told_leader();
+    zone.distributor.handle_session_message(
+        0,
+        1,
+        SessionUp::Renew { sent_at_ms: 78, summaries: Vec::new() },
+    );
+    zone.advance(BATCHED_MS);
+    let before = zone.sent_to_leader();
     zone.distributor.unlinked(zone.now_ms);
     zone.link();
     for up in before {
         let SessionUp::RenewFor { number, .. } = up else { continue };
         zone.down(SessionDown::RenewedFor { number });
     }
-    assert!(!is_renewed(&zone.told(1), 78));
+    assert!(!is_renewed(&zone.received(1), 78));
 }
 
 #[test]
-fn gateways_are_kept_while_control_changes_its_leader_and_told_everything_anew() {
+fn gateways_stay_during_a_leader_change_and_are_welcomed_again() {
     let mut zone = Zone::linked();
     zone.welcome(1, "g1");
     zone.distributor.unlinked(zone.now_ms);
     zone.advance(UNLINKED_MAX_MS - 100);
-    zone.distributor.up(0, 1, SessionUp::Renew { sent_at_ms: 79, summaries: Vec::new() });
-    assert!(zone.told(1).is_empty(), "nobody leads");
+    zone.distributor.handle_session_message(
+        0,
+        1,
+        SessionUp::Renew { sent_at_ms: 79, summaries: Vec::new() },
+    );
+    assert!(zone.received(1).is_empty(), "there is no leader");
     zone.link();
-    zone.advance(GATHERED_MS);
+    zone.advance(BATCHED_MS);
     zone.confirm();
-    let told = zone.told(1);
-    assert!(matches!(told.first(), Some(SessionDown::Welcome { .. })), "{told:?}");
+    let received = zone.received(1);
+    assert!(matches!(received.first(), Some(SessionDown::Welcome { .. })), "{received:?}");
 }
 
 #[test]
-fn what_the_next_leader_tells_otherwise_is_all_that_gateways_are_told() {
+fn gateways_get_only_the_differences_after_a_leader_change() {
     let mut zone = Zone::linked();
     zone.welcome(1, "g1");
     zone.distributor.unlinked(zone.now_ms);
@@ -239,8 +253,10 @@
     zone.down(SessionDown::Changes { index: 9, reset: true, complete: true, changes });
     let holds = vec![placed("e2", "a7", Holding::Ready(1))];
     zone.down(SessionDown::Placed { reset: true, placed: holds.clone() });
-    let told = zone.told(1);
-    let [SessionDown::Welcome { .. }, changes, moved] = &told[..] else { panic!("{told:?}") };
+    let received = zone.received(1);
+    let [SessionDown::Welcome { .. }, changes, moved] = &received[..] else {
+        panic!("{received:?}")
+    };
     let SessionDown::Changes { reset: false, complete: true, changes, .. } = changes else {
         panic!("{changes:?}");
     };
@@ -255,66 +271,70 @@
 }
 
 #[test]
-fn gateways_look_for_a_leader_themselves_when_the_link_stays_lost() {
+fn gateways_are_redirected_when_the_link_stays_lost() {
     let mut zone = Zone::linked();
     zone.welcome(1, "g1");
     zone.distributor.unlinked(zone.now_ms);
     zone.advance(UNLINKED_MAX_MS + 20);
-    let told = zone.told(1);
-    assert!(matches!(told[..], [SessionDown::NotLeader { leader: None }]), "{told:?}");
+    let received = zone.received(1);
+    assert!(matches!(received[..], [SessionDown::NotLeader { leader: None }]), "{received:?}");
     zone.open(2, "g2", "a");
-    let told = zone.told(2);
-    assert!(matches!(told[..], [SessionDown::NotLeader { leader: Some(_) }]), "{told:?}");
+    let received = zone.received(2);
+    assert!(matches!(received[..], [SessionDown::NotLeader { leader: Some(_) }]), "{received:?}");
 }
 
 #[test]
-fn gateways_of_other_zones_are_sent_to_their_own() {
+fn gateways_of_other_zones_are_redirected_to_their_own_server() {
     let mut zone = Zone::linked();
     let servers = vec![SessionServer { zone: "b".into(), address: address(2) }];
     zone.down(SessionDown::Group(Group { servers, ..Group::default() }));
     zone.open(1, "g1", "b");
     zone.open(2, "g2", "c");
-    let named = |told: Vec<SessionDown>| match told[..] {
+    let named = |received: Vec<SessionDown>| match received[..] {
         [SessionDown::NotLeader { leader }] => leader,
-        _ => panic!("{told:?}"),
+        _ => panic!("{received:?}"),
     };
-    assert_eq!(named(zone.told(1)), Some(address(2)));
-    assert_eq!(named(zone.told(2)), Some(address(1)), "the leader serves zones that have none");
+    assert_eq!(named(zone.received(1)), Some(address(2)));
+    assert_eq!(
+        named(zone.received(2)),
+        Some(address(1)),
+        "the leader serves zones without a distributor"
+    );
 }
 
 #[test]
-fn changes_and_placements_are_passed_on_as_they_come() {
+fn changes_and_placements_are_relayed_immediately() {
     let mut zone = Zone::linked();
     zone.welcome(1, "g1");
     let changes = vec![Change::Deregistered("e2".into())];
     zone.down(SessionDown::Changes { index: 6, reset: false, complete: true, changes });
     let moved = vec![placed("e1", "a1", Holding::Gone), placed("e1", "a2", Holding::Coming)];
     zone.down(SessionDown::Placed { reset: false, placed: moved.clone() });
-    let told = zone.told(1);
+    let received = zone.received(1);
     let [SessionDown::Changes { reset: false, .. }, SessionDown::Placed { reset: false, placed }] =
-        &told[..]
+        &received[..]
     else {
-        panic!("{told:?}");
+        panic!("{received:?}");
     };
     assert_eq!(*placed, moved);
-    // One that comes later is told the outcome.
+    // A gateway that connects later gets the resulting state.
     zone.open(2, "g2", "a");
-    zone.advance(GATHERED_MS);
+    zone.advance(BATCHED_MS);
     zone.confirm();
-    let told = zone.told(2);
-    let SessionDown::Changes { changes, .. } = &told[1] else { panic!("{told:?}") };
-    assert_eq!(changes.len(), 3, "one endpoint has gone: {changes:?}");
-    let SessionDown::Placed { placed, .. } = &told[2] else { panic!("{told:?}") };
+    let received = zone.received(2);
+    let SessionDown::Changes { changes, .. } = &received[1] else { panic!("{received:?}") };
+    assert_eq!(changes.len(), 3, "one endpoint was deregistered: {changes:?}");
+    let SessionDown::Placed { placed, .. } = &received[2] else { panic!("{received:?}") };
     assert_eq!(placed.len(), 1);
     assert_eq!(placed[0].name, weights("a2"));
 }
 
 #[test]
-fn an_order_reaches_its_holder_or_is_said_not_to_be_sent() {
+fn order_reaches_its_holder_or_is_reported_as_not_sent() {
     let mut zone = Zone::linked();
     zone.welcome(1, "g1");
     zone.welcome(2, "g2");
-    zone.told_leader();
+    zone.sent_to_leader();
     let order = |number, holder: &str| EngineOrder {
         number,
         endpoint: "e1".into(),
@@ -326,11 +346,11 @@
         token: 1,
     };
     zone.down(SessionDown::Order(order(7, "g2")));
-    assert!(zone.told(1).is_empty());
-    assert!(matches!(zone.told(2)[..], [SessionDown::Order(_)]));
+    assert!(zone.received(1).is_empty());
+    assert!(matches!(zone.received(2)[..], [SessionDown::Order(_)]));
     zone.down(SessionDown::Order(order(8, "g3")));
-    let told = zone.told_leader();
-    let [SessionUp::Forwarded(forwarded)] = &told[..] else { panic!("{told:?}") };
+    let sent = zone.sent_to_leader();
+    let [SessionUp::Forwarded(forwarded)] = &sent[..] else { panic!("{sent:?}") };
     let [Forwarded { up: SessionUp::Ordered(result), .. }] = &forwarded[..] else {
         panic!("{forwarded:?}");
     };
@@ -339,22 +359,22 @@
 }
 
 #[test]
-fn needs_and_outcomes_go_up_at_once_under_the_gateways_name() {
+fn needs_and_outcomes_are_forwarded_at_once_with_the_gateway_name() {
     let mut zone = Zone::linked();
     zone.welcome(1, "g1");
-    zone.told_leader();
+    zone.sent_to_leader();
     let need =
         AdapterNeed { service: "quotes".into(), weights: weights("a9"), requests: 1, more: false };
-    zone.distributor.up(0, 1, SessionUp::Needs(vec![need]));
+    zone.distributor.handle_session_message(0, 1, SessionUp::Needs(vec![need]));
     let result = OrderResult {
         number: 3,
         endpoint: "e1".into(),
         kind: OrderKind::Report,
         outcome: OrderOutcome::Refused,
     };
-    zone.distributor.up(0, 1, SessionUp::Ordered(result));
+    zone.distributor.handle_session_message(0, 1, SessionUp::Ordered(result));
     let mut kinds = Vec::new();
-    for up in zone.told_leader() {
+    for up in zone.sent_to_leader() {
         let SessionUp::Forwarded(forwarded) = up else { panic!("{up:?}") };
         for Forwarded { gateway, up } in forwarded {
             assert_eq!(&*gateway, "g1");
@@ -365,53 +385,53 @@
 }
 
 #[test]
-fn needs_wait_for_the_next_leader() {
+fn needs_are_kept_for_the_next_leader() {
     let mut zone = Zone::linked();
     zone.welcome(1, "g1");
     zone.distributor.unlinked(zone.now_ms);
     let need =
         AdapterNeed { service: "quotes".into(), weights: weights("a9"), requests: 1, more: false };
-    zone.distributor.up(0, 1, SessionUp::Needs(vec![need]));
+    zone.distributor.handle_session_message(0, 1, SessionUp::Needs(vec![need]));
     zone.advance(200);
     zone.link();
     zone.advance(200);
-    let told = zone.told_leader();
-    let is_told = told.iter().any(|up| match up {
+    let sent = zone.sent_to_leader();
+    let is_forwarded = sent.iter().any(|up| match up {
         SessionUp::Forwarded(forwarded) => {
-            forwarded.iter().any(|told| matches!(told.up, SessionUp::Needs(_)))
+            forwarded.iter().any(|sent| matches!(sent.up, SessionUp::Needs(_)))
         }
         _ => false,
     });
-    assert!(is_told, "{told:?}");
+    assert!(is_forwarded, "{sent:?}");
 }
 
 #[test]
-fn counts_go_up_summed_and_come_down_without_the_gateways_own() {
+fn loads_are_summed_for_the_leader_and_exclude_the_receiving_gateways_own() {
     let mut zone = Zone::linked();
     zone.welcome(1, "g1");
     zone.welcome(2, "g2");
     zone.advance(200);
-    zone.told_leader();
+    zone.sent_to_leader();
     let traffic = |loads| SessionUp::Traffic { loads, used: Vec::new(), failing: Vec::new() };
-    zone.distributor.up(0, 1, traffic(vec![running("e1", 3)]));
-    zone.distributor.up(0, 2, traffic(vec![running("e1", 4)]));
+    zone.distributor.handle_session_message(0, 1, traffic(vec![running("e1", 3)]));
+    zone.distributor.handle_session_message(0, 2, traffic(vec![running("e1", 4)]));
     zone.down(SessionDown::Loads(vec![running("e1", 10), running("e2", 2)]));
     zone.advance(200);
     let mut summed = Vec::new();
-    for up in zone.told_leader() {
+    for up in zone.sent_to_leader() {
         if let SessionUp::Traffic { loads, .. } = up {
             summed.extend(loads);
         }
     }
     assert_eq!(summed, [running("e1", 7)]);
-    let told = zone.told(1);
-    let Some(SessionDown::Loads(loads)) = told.last() else { panic!("{told:?}") };
+    let received = zone.received(1);
+    let Some(SessionDown::Loads(loads)) = received.last() else { panic!("{received:?}") };
     assert_eq!(*loads, [running("e1", 14), running("e2", 2)]);
-    // A gateway that ends has nothing under way any more.
+    // A closed session no longer counts.
     zone.distributor.close(2);
     zone.advance(200);
-    let told = zone.told_leader();
-    let summed = told.iter().find_map(|up| match up {
+    let sent = zone.sent_to_leader();
+    let summed = sent.iter().find_map(|up| match up {
         SessionUp::Traffic { loads, .. } if !loads.is_empty() => Some(loads.clone()),
         _ => None,
     });
@@ -419,12 +439,12 @@
 }
 
 #[test]
-fn uses_are_gathered() {
+fn uses_are_batched() {
     let mut zone = Zone::linked();
     zone.welcome(1, "g1");
     zone.welcome(2, "g2");
     zone.advance(200);
-    zone.told_leader();
+    zone.sent_to_leader();
     for id in [1, 2, 1] {
         let used = vec![WeightsUse {
             endpoint: "e1".into(),
@@ -434,35 +454,35 @@
             under_way: 1,
         }];
         let up = SessionUp::Traffic { loads: Vec::new(), used, failing: Vec::new() };
-        zone.distributor.up(0, id, up);
+        zone.distributor.handle_session_message(0, id, up);
     }
-    assert!(zone.told_leader().is_empty());
+    assert!(zone.sent_to_leader().is_empty());
     zone.advance(200);
-    let told = zone.told_leader();
+    let sent = zone.sent_to_leader();
     let forwarded: Vec<&SessionUp> =
-        told.iter().filter(|up| matches!(up, SessionUp::Forwarded(_))).collect();
-    let [SessionUp::Forwarded(forwarded)] = forwarded[..] else { panic!("{told:?}") };
+        sent.iter().filter(|up| matches!(up, SessionUp::Forwarded(_))).collect();
+    let [SessionUp::Forwarded(forwarded)] = forwarded[..] else { panic!("{sent:?}") };
     assert_eq!(forwarded.len(), 3);
 }
 
 #[test]
-fn a_heartbeat_without_news_is_taken_and_told_once_in_a_period() {
+fn known_heartbeat_is_accepted_and_forwarded_once_per_period() {
     let mut zone = Zone::linked();
     let beat = |sequence| Heartbeat { endpoint: endpoint(1), sequence, holds: None };
     assert!(zone.distributor.heartbeat(beat(4)));
     assert!(zone.distributor.heartbeat(beat(5)));
     zone.advance(200);
-    let mut told = Vec::new();
-    for up in zone.told_leader() {
+    let mut received = Vec::new();
+    for up in zone.sent_to_leader() {
         if let SessionUp::Heartbeats(heartbeats) = up {
-            told.extend(heartbeats);
+            received.extend(heartbeats);
         }
     }
-    assert_eq!(told, [beat(5)]);
+    assert_eq!(received, [beat(5)]);
 }
 
 #[test]
-fn heartbeats_from_before_the_link_was_lost_are_not_told_to_the_next_leader() {
+fn heartbeats_from_before_a_lost_link_are_dropped() {
     let mut zone = Zone::linked();
     zone.welcome(1, "g1");
     let heartbeat = Heartbeat { endpoint: endpoint(1), sequence: 4, holds: None };
@@ -471,12 +491,12 @@
     zone.advance(6_000);
     zone.link();
     zone.advance(200);
-    let told = zone.told_leader();
-    assert!(!told.iter().any(|up| matches!(up, SessionUp::Heartbeats(_))), "{told:?}");
+    let sent = zone.sent_to_leader();
+    assert!(!sent.iter().any(|up| matches!(up, SessionUp::Heartbeats(_))), "{sent:?}");
 }
 
 #[test]
-fn a_heartbeat_with_news_or_without_a_leader_is_not_taken() {
+fn heartbeat_of_a_changed_endpoint_or_without_a_leader_is_not_accepted() {
     let mut zone = Zone::linked();
     let mut leaving = endpoint(1);
     leaving.leaving = true;
@@ -486,23 +506,23 @@
     }
     zone.distributor.unlinked(zone.now_ms);
     let known = Heartbeat { endpoint: endpoint(1), sequence: 5, holds: None };
-    assert!(!zone.distributor.heartbeat(known), "nobody would be told");
+    assert!(!zone.distributor.heartbeat(known), "there is no leader to forward the heartbeat to");
 }
 
 #[test]
-fn a_group_is_told_anew_when_more_than_a_few_gateways_came_or_went() {
+fn group_differs_when_many_gateways_connect_or_disconnect() {
     let group = |gateways| Group { gateways, ..Group::default() };
-    assert!(group(7).differs_enough(&group(6)), "of six, each counts");
+    assert!(group(7).differs_enough(&group(6)), "one more than six is significant");
     assert!(!group(205).differs_enough(&group(200)));
     assert!(group(180).differs_enough(&group(200)));
     let servers = vec![SessionServer { zone: "a".into(), address: address(3) }];
     assert!(Group { servers, ..group(200) }.differs_enough(&group(200)));
 }
 
-/// The ages of versions that a gateway is told.
-fn versions_told(told: &[SessionDown]) -> Vec<&Change> {
+/// Returns the version changes among messages to a gateway.
+fn version_changes(received: &[SessionDown]) -> Vec<&Change> {
     let mut versions = Vec::new();
-    for down in told {
+    for down in received {
         let SessionDown::Changes { changes, .. } = down else { continue };
         for change in changes {
             if matches!(change, Change::Version(_) | Change::VersionOfUnknownAge(_)) {
@@ -514,14 +534,17 @@
 }
 
 #[test]
-fn a_version_is_new_only_to_gateways_that_are_told_when_it_is_named() {
+fn version_age_is_known_only_to_gateways_connected_when_it_was_published() {
     let newest = |version| NewestVersion { name: weights("a1"), version };
     let mut zone = Zone::linked();
     zone.open(1, "g1", "a");
-    zone.advance(GATHERED_MS);
+    zone.advance(BATCHED_MS);
     zone.confirm();
-    let told = zone.told(1);
-    assert!(matches!(versions_told(&told)[..], [Change::VersionOfUnknownAge(_)]), "{told:?}");
+    let received = zone.received(1);
+    assert!(
+        matches!(version_changes(&received)[..], [Change::VersionOfUnknownAge(_)]),
+        "{received:?}"
+    );
     let named = Change::Version(newest(4));
     zone.down(SessionDown::Changes {
         index: 6,
@@ -529,9 +552,9 @@
         complete: true,
         changes: vec![named],
     });
-    let told = zone.told(1);
-    assert!(matches!(versions_told(&told)[..], [Change::Version(_)]), "{told:?}");
-    // The next leader tells of a version that was named meanwhile, nobody knows when.
+    let received = zone.received(1);
+    assert!(matches!(version_changes(&received)[..], [Change::Version(_)]), "{received:?}");
+    // The next leader reports a version that was published in between, at an unknown time.
     zone.distributor.unlinked(zone.now_ms);
     let (up, link) = mpsc::channel(1_000);
     zone.link = link;
@@ -539,8 +562,11 @@
     let named = Change::Version(newest(5));
     zone.down(SessionDown::Changes { index: 7, reset: true, complete: true, changes: vec![named] });
     zone.down(SessionDown::Placed { reset: true, placed: Vec::new() });
-    let told = zone.told(1);
-    assert!(matches!(versions_told(&told)[..], [Change::VersionOfUnknownAge(_)]), "{told:?}");
+    let received = zone.received(1);
+    assert!(
+        matches!(version_changes(&received)[..], [Change::VersionOfUnknownAge(_)]),
+        "{received:?}"
+    );
 }
 
 fn held() -> RequestStanding {
@@ -550,24 +576,24 @@
     RequestStanding { key: RequestKey::new(content), weights: None, standing }
 }
 
-/// The standings that a gateway was told.
-fn standings(told: &[SessionDown]) -> Vec<Standing> {
+/// Returns the standings among messages to a gateway.
+fn standings(received: &[SessionDown]) -> Vec<Standing> {
     let mut standings = Vec::new();
-    for down in told {
+    for down in received {
         let SessionDown::Changes { changes, .. } = down else { continue };
         for change in changes {
-            let Change::Request(told) = change else { continue };
-            standings.push(told.standing.clone());
+            let Change::Request(received) = change else { continue };
+            standings.push(received.standing.clone());
         }
     }
     standings
 }
 
 #[test]
-fn the_leader_is_told_at_once_of_endpoints_that_ended() {
+fn crash_reports_are_forwarded_at_once() {
     let mut zone = Zone::linked();
     zone.welcome(1, "g1");
-    zone.told_leader();
+    zone.sent_to_leader();
     let (endpoint, service) = ("e1".into(), "quotes".into());
     let crash = EndpointCrash { endpoint, service, ago_ms: 30, runs: Vec::new() };
     for up in [
@@ -576,26 +602,26 @@
         SessionUp::AskForTrial(held().key),
     ] {
         let kind = up.kind();
-        zone.distributor.up(0, 1, up);
-        let told = zone.told_leader();
-        let [SessionUp::Forwarded(forwarded)] = &told[..] else { panic!("{told:?}") };
+        zone.distributor.handle_session_message(0, 1, up);
+        let sent = zone.sent_to_leader();
+        let [SessionUp::Forwarded(forwarded)] = &sent[..] else { panic!("{sent:?}") };
         assert_eq!((&*forwarded[0].gateway, forwarded[0].up.kind()), ("g1", kind));
     }
 }
 
 #[test]
-fn gateways_are_told_which_requests_are_held_when_they_come_and_when_that_changes() {
+fn gateways_get_request_standings_on_connect_and_on_change() {
     let mut zone = Zone::linked();
     zone.welcome(1, "g1");
     let changes = vec![Change::Request(held())];
     zone.down(SessionDown::Changes { index: 6, reset: false, complete: true, changes });
-    assert_eq!(standings(&zone.told(1)), [held().standing]);
+    assert_eq!(standings(&zone.received(1)), [held().standing]);
     zone.open(2, "g2", "a");
-    zone.advance(GATHERED_MS);
+    zone.advance(BATCHED_MS);
     zone.confirm();
-    assert_eq!(standings(&zone.told(2)), [held().standing]);
-    // The next leader knows of none.
+    assert_eq!(standings(&zone.received(2)), [held().standing]);
+    // The next leader knows of no held request.
     zone.distributor.unlinked(zone.now_ms);
     zone.link();
-    assert_eq!(standings(&zone.told(1)), [Standing::Cleared]);
+    assert_eq!(standings(&zone.received(1)), [Standing::Cleared]);
 }
--- a/tests/distribution_random.rs
+++ b/tests/distribution_random.rs
@@ -1,6 +1,6 @@
-//! Distributors under random schedules: leaders that change, confirmations of ended links that come
-//! late, gateways that come and go. `WINCHVANE_SEEDS=20000 cargo test --release --test
-//! distribution_random` runs longer.
+//! Tests distributors under random schedules: changes of the leader, late confirmations for ended
+//! links, and gateways that connect and disconnect. `WINCHVANE_SEEDS=20000 cargo test --release
+//! --test distribution_random` runs more seeds.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -36,7 +36,7 @@
     }
 }
 
-/// What a leader tells, and what a gateway has been told.
+/// The state of the leader, or the state that a gateway has received.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 struct Knowledge {
     versions: BTreeMap<WeightsName, u64>,
@@ -91,33 +91,33 @@
     }
 }
 
-/// A gateway of the zone.
+/// A simulated gateway of the zone.
 struct Gateway {
     queue: mpsc::Receiver<SessionDown>,
     known: Knowledge,
-    /// Renewals it has sent and that were not confirmed yet.
+    /// Renewals that were sent and not confirmed yet.
     renewed_at_ms: BTreeSet<u64>,
-    is_welcome: bool,
-    is_sent_away: bool,
+    is_welcomed: bool,
+    is_redirected: bool,
 }
 
-struct Course {
+struct Simulation {
     distributor: Distributor,
     rng: SmallRng,
     now_ms: u64,
     index: u64,
     leader: Knowledge,
     link: Option<mpsc::Receiver<SessionUp>>,
-    /// Numbers of renewals that a link in force carried, and of ended ones.
+    /// Numbers of unconfirmed renewals, first of the current link, then of ended links.
     unconfirmed: Vec<u64>,
     ended: Vec<u64>,
     gateways: BTreeMap<u64, Gateway>,
     next_gateway: u64,
 }
 
-impl Course {
+impl Simulation {
     fn new(seed: u64) -> Self {
-        let mut course = Self {
+        let mut simulation = Self {
             distributor: Distributor::new("a".into()),
             rng: SmallRng::seed_from_u64(seed),
             now_ms: 0,
@@ -129,8 +129,8 @@
             gateways: BTreeMap::new(),
             next_gateway: 0,
         };
-        course.link();
-        course
+        simulation.link();
+        simulation
     }
 
     fn run(mut self) {
@@ -148,24 +148,28 @@
         }
         let mut compared = 0;
         for (id, gateway) in &self.gateways {
-            if gateway.is_welcome && !gateway.is_sent_away {
-                assert_eq!(gateway.known, self.leader, "gateway {id} knows something else");
+            if gateway.is_welcomed && !gateway.is_redirected {
+                assert_eq!(gateway.known, self.leader, "gateway {id} differs from the leader");
                 compared += 1;
             }
         }
-        let stays = |gateway: &&Gateway| !gateway.is_sent_away;
-        assert_eq!(compared, self.gateways.values().filter(stays).count(), "all were welcomed");
+        let stays = |gateway: &&Gateway| !gateway.is_redirected;
+        assert_eq!(
+            compared,
+            self.gateways.values().filter(stays).count(),
+            "not all gateways were welcomed"
+        );
     }
 
     fn step(&mut self) {
         match self.rng.random_range(0..20) {
-            0..6 => self.lead(),
+            0..6 => self.change_leader_state(),
             6..11 => {
                 let duration_ms = self.rng.random_range(20..300);
                 self.advance(duration_ms);
             }
             11..14 => self.confirm(),
-            14 => self.confirm_of_an_ended_link(),
+            14 => self.confirm_for_an_ended_link(),
             15 if self.link.is_some() => self.unlink(),
             15 | 16 if self.link.is_none() => self.link(),
             16 | 17 => self.renew(),
@@ -174,8 +178,8 @@
         }
     }
 
-    /// The leader decides something; it tells it while a link is there.
-    fn lead(&mut self) {
+    /// Changes the leader's state randomly; the change is sent while the link is open.
+    fn change_leader_state(&mut self) {
         let adapter = format!("a{}", self.rng.random_range(0..4));
         let name = WeightsName::new("m", Some(&adapter));
         let number = self.rng.random_range(0..5);
@@ -196,19 +200,27 @@
                     if self.rng.random() { Holding::Gone } else { Holding::Ready(self.index) };
                 let placed = Placed { endpoint: id, name, holding };
                 self.leader.place(placed.clone());
-                self.tell(SessionDown::Placed { reset: false, placed: vec![placed] });
+                self.send_to_distributor(SessionDown::Placed {
+                    reset: false,
+                    placed: vec![placed],
+                });
                 return;
             }
             _ => return,
         };
         self.leader.change(change.clone());
         let (index, changes) = (self.index, vec![change]);
-        self.tell(SessionDown::Changes { index, reset: false, complete: true, changes });
+        self.send_to_distributor(SessionDown::Changes {
+            index,
+            reset: false,
+            complete: true,
+            changes,
+        });
     }
 
-    fn tell(&mut self, down: SessionDown) {
+    fn send_to_distributor(&mut self, down: SessionDown) {
         if self.link.is_some() {
-            self.distributor.down(self.now_ms, down);
+            self.distributor.handle_leader_message(self.now_ms, down);
         }
     }
 
@@ -217,9 +229,14 @@
         self.link = Some(link);
         self.distributor.linked(self.now_ms, up);
         let (index, changes) = (self.index, self.leader.changes());
-        self.tell(SessionDown::Changes { index, reset: true, complete: true, changes });
+        self.send_to_distributor(SessionDown::Changes {
+            index,
+            reset: true,
+            complete: true,
+            changes,
+        });
         let placed = self.leader.all_placed();
-        self.tell(SessionDown::Placed { reset: true, placed });
+        self.send_to_distributor(SessionDown::Placed { reset: true, placed });
     }
 
     fn unlink(&mut self) {
@@ -238,18 +255,18 @@
         }
     }
 
-    /// A majority round ends: everything sent before counts.
+    /// Confirms all renewals sent so far, as after a majority round.
     fn confirm(&mut self) {
         self.take_renewals();
         for number in std::mem::take(&mut self.unconfirmed) {
-            self.tell(SessionDown::RenewedFor { number });
+            self.send_to_distributor(SessionDown::RenewedFor { number });
         }
     }
 
-    fn confirm_of_an_ended_link(&mut self) {
+    fn confirm_for_an_ended_link(&mut self) {
         let Some(number) = self.ended.pop() else { return };
         let before = self.renewals_answered();
-        self.tell(SessionDown::RenewedFor { number });
+        self.send_to_distributor(SessionDown::RenewedFor { number });
         assert_eq!(self.renewals_answered(), before, "an ended link confirms nothing");
     }
 
@@ -262,8 +279,8 @@
         self.now_ms += 1;
         let Some(id) = self.any_gateway() else { return };
         let up = SessionUp::Renew { sent_at_ms: self.now_ms, summaries: Vec::new() };
-        self.distributor.up(0, id, up);
-        let gateway = self.gateways.get_mut(&id).expect("it is there");
+        self.distributor.handle_session_message(0, id, up);
+        let gateway = self.gateways.get_mut(&id).expect("the gateway exists");
         gateway.renewed_at_ms.insert(self.now_ms);
     }
 
@@ -286,8 +303,8 @@
                 queue,
                 known: Knowledge::default(),
                 renewed_at_ms: BTreeSet::new(),
-                is_welcome: false,
-                is_sent_away: false,
+                is_welcomed: false,
+                is_redirected: false,
             },
         );
     }
@@ -317,7 +334,7 @@
 impl Gateway {
     fn take(&mut self, down: SessionDown, leader: &Knowledge) {
         match down {
-            SessionDown::Welcome { .. } => self.is_welcome = true,
+            SessionDown::Welcome { .. } => self.is_welcomed = true,
             SessionDown::Changes { reset, changes, .. } => {
                 if reset {
                     self.known.versions.clear();
@@ -328,7 +345,7 @@
                 }
                 for (name, version) in &self.known.versions {
                     let newest = leader.versions.get(name).copied().unwrap_or(0);
-                    assert!(*version <= newest, "{name} {version} was never named");
+                    assert!(*version <= newest, "version {version} of {name} was never published");
                 }
             }
             SessionDown::Placed { reset, placed } => {
@@ -342,17 +359,17 @@
             SessionDown::Renewed { sent_at_ms, .. } => {
                 self.renewed_at_ms.remove(&sent_at_ms);
             }
-            SessionDown::NotLeader { .. } | SessionDown::Expired => self.is_sent_away = true,
+            SessionDown::NotLeader { .. } | SessionDown::Expired => self.is_redirected = true,
             _ => {}
         }
     }
 }
 
 #[test]
-fn gateways_end_with_what_the_leader_knows_whatever_comes_between() {
+fn gateways_converge_to_the_leaders_state() {
     let seeds = std::env::var("WINCHVANE_SEEDS").ok().and_then(|text| text.parse().ok());
     for seed in 0..seeds.unwrap_or(DEFAULT_SEEDS) {
         println!("seed {seed}");
-        Course::new(seed).run();
+        Simulation::new(seed).run();
     }
 }
--- a/tests/links.rs
+++ b/tests/links.rs
@@ -1,4 +1,4 @@
-//! Links between a distributor and its leader that go silent, or were held up.
+//! Tests of links between a distributor and its leader that become silent or are delayed.
 
 mod common;
 
@@ -22,22 +22,23 @@
 use winchvane::wire::{BoxFuture, Handler, Incoming, serve};
 
 const ZONE: &str = "a";
-/// A leader that is silent for 0.6 s is given up, and gateways are kept for a second after that.
-const KEPT_AT_MOST: Duration = Duration::from_millis(2_300);
+/// A distributor drops a leader that is silent for 0.6 s, and keeps its gateways for one second
+/// more.
+const REDIRECT_TIMEOUT: Duration = Duration::from_millis(2_300);
 
-/// A leader that answers the first renewals and then only listens, its connection still open; it says
-/// nothing on later ones either.
+/// A leader that answers the first renewals and then only reads, with the connection still open.
+/// Later connections get no answers at all.
 #[derive(Default)]
-struct FallsSilent {
-    has_spoken: Arc<AtomicBool>,
+struct SilentLeader {
+    has_answered: Arc<AtomicBool>,
 }
 
-impl Handler for FallsSilent {
+impl Handler for SilentLeader {
     fn handle(&self, incoming: Incoming) -> BoxFuture<'static, Result<()>> {
-        let has_spoken = self.has_spoken.clone();
+        let has_answered = self.has_answered.clone();
         Box::pin(async move {
             let (mut receiver, mut sender) = incoming.accept::<SessionUp, SessionDown>()?;
-            if has_spoken.swap(true, Ordering::Relaxed) {
+            if has_answered.swap(true, Ordering::Relaxed) {
                 while receiver.next().await?.is_some() {}
                 return Ok(());
             }
@@ -61,32 +62,32 @@
 }
 
 #[test]
-fn gateways_are_sent_away_when_the_leader_falls_silent_however_much_is_told_to_it() {
+fn gateways_are_redirected_when_the_leader_is_silent_despite_outgoing_traffic() {
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
     runtime.block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
-        let leader = listener.local_addr().expect("it is bound");
-        tokio::spawn(serve(listener, Arc::new(FallsSilent::default()), Metrics::local()));
+        let leader = listener.local_addr().expect("the listener is bound");
+        tokio::spawn(serve(listener, Arc::new(SilentLeader::default()), Metrics::local()));
         let own = ([127, 0, 0, 1], 9).into();
         let (_leader_known, known) = watch::channel(Some(leader));
         let distributor = spawn(hello("c1".into(), 1, ZONE.into(), own), Clock::new(), known);
-        let (down, mut told) = mpsc::channel(100);
-        // Until the link is there, a gateway is sent to the leader.
+        let (down, mut received) = mpsc::channel(100);
+        // Until the link is open, the distributor redirects gateways to the leader.
         loop {
             let (probe, mut answer) = mpsc::channel(10);
             distributor.open(1, gateway(own), probe);
-            let patience = Duration::from_millis(50);
-            if tokio::time::timeout(patience, answer.recv()).await.is_err() {
+            let answer_timeout = Duration::from_millis(50);
+            if tokio::time::timeout(answer_timeout, answer.recv()).await.is_err() {
                 distributor.close(1);
                 break;
             }
         }
         distributor.open(2, gateway(own), down);
-        let sent_away = async {
+        let until_redirected = async {
             let mut renewals = tokio::time::interval(Duration::from_millis(10));
             loop {
                 tokio::select! {
-                    message = told.recv() => {
+                    message = received.recv() => {
                         if let Some(SessionDown::NotLeader { .. }) | None = message {
                             return;
                         }
@@ -94,18 +95,19 @@
                     _ = renewals.tick() => {
                         let renewal = SessionUp::Renew { sent_at_ms: 1, summaries: Vec::new() };
                         distributor.up(2, renewal);
-                        // Needs go up at once, so that the link is never idle in this direction.
+                        // Needs are sent to the leader at once, so that the link is never idle in
+                        // that direction.
                         distributor.up(2, SessionUp::Needs(Vec::new()));
                     }
                 }
             }
         };
-        let result = tokio::time::timeout(KEPT_AT_MOST, sent_away).await;
-        assert!(result.is_ok(), "a gateway is kept by a distributor without a leader");
+        let result = tokio::time::timeout(REDIRECT_TIMEOUT, until_redirected).await;
+        assert!(result.is_ok(), "the distributor keeps a gateway although it has no leader");
     });
 }
 
-/// A replica that is alone in its group, and leads.
+/// Starts the only replica of a group, which becomes leader.
 async fn leader_in(folder: &Path) -> ActorRef<ReplicaMessage> {
     let storage = FileStorage::open(folder).expect("the folder is empty").storage;
     let timing = Timing { heartbeat_ms: 10, election_ms: 50 };
@@ -115,20 +117,20 @@
     actor
 }
 
-/// Opens a link of zone `b` under `session` and waits until the leader answers its renewals.
+/// Opens a link of zone `b` as `session` and waits until the leader answers its renewals.
 async fn link_to(
     actor: &ActorRef<ReplicaMessage>,
     session: u64,
     address: SocketAddr,
 ) -> mpsc::Receiver<SessionDown> {
-    let (down, mut told) = mpsc::channel(100);
+    let (down, mut received) = mpsc::channel(100);
     let link = hello("c2".into(), 1, "b".into(), address);
     actor.cast(ReplicaMessage::Open(session, link, down)).expect("the replica runs");
     loop {
         renew(actor, session, 1);
-        let message = tokio::time::timeout(Duration::from_millis(100), told.recv()).await;
+        let message = tokio::time::timeout(Duration::from_millis(100), received.recv()).await;
         if let Ok(Some(SessionDown::RenewedFor { number: 1 })) = message {
-            return told;
+            return received;
         }
     }
 }
@@ -139,16 +141,16 @@
 }
 
 #[test]
-fn a_leader_ends_a_link_that_was_held_up() {
+fn leader_closes_a_delayed_link() {
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
     let folder = tempfile::tempdir().expect("a folder");
     runtime.block_on(async {
         let actor = leader_in(folder.path()).await;
-        let mut told = link_to(&actor, 7, ([127, 0, 0, 2], 9).into()).await;
+        let mut received = link_to(&actor, 7, ([127, 0, 0, 2], 9).into()).await;
         tokio::time::sleep(Duration::from_millis(1_300)).await;
         renew(&actor, 7, 2);
         let ended = async {
-            while let Some(message) = told.recv().await {
+            while let Some(message) = received.recv().await {
                 match message {
                     SessionDown::NotLeader { .. } => return true,
                     SessionDown::RenewedFor { number: 2 } => return false,
@@ -158,47 +160,47 @@
             false
         };
         let ended = tokio::time::timeout(Duration::from_secs(2), ended).await;
-        assert_eq!(ended, Ok(true), "what was held up is taken for news");
+        assert_eq!(ended, Ok(true), "a delayed renewal was accepted as current");
     });
 }
 
 #[test]
-fn a_leader_names_no_distributor_that_is_silent() {
+fn leader_announces_no_silent_distributor() {
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
     let folder = tempfile::tempdir().expect("a folder");
     runtime.block_on(async {
         let actor = leader_in(folder.path()).await;
         let distributor: SocketAddr = ([127, 0, 0, 2], 9).into();
-        let mut told = link_to(&actor, 7, distributor).await;
+        let mut received = link_to(&actor, 7, distributor).await;
         tokio::time::sleep(Duration::from_millis(1_500)).await;
-        // Nothing came on the link meanwhile, and nothing comes now: the leader ends it by itself.
-        let mut was_sent_elsewhere = false;
-        while let Ok(message) = told.try_recv() {
-            was_sent_elsewhere |= matches!(message, SessionDown::NotLeader { .. });
+        // The link is silent in both directions; the leader closes it by itself.
+        let mut was_redirected = false;
+        while let Ok(message) = received.try_recv() {
+            was_redirected |= matches!(message, SessionDown::NotLeader { .. });
         }
-        assert!(was_sent_elsewhere);
-        let (down, mut told) = mpsc::channel(100);
+        assert!(was_redirected);
+        let (down, mut received) = mpsc::channel(100);
         let role = SessionRole::Follower;
         let gateway = SessionHello { role, ..hello("g1".into(), 1, "b".into(), distributor) };
         actor.cast(ReplicaMessage::Open(8, gateway, down)).expect("the replica runs");
-        let answer = told.recv().await;
+        let answer = received.recv().await;
         assert!(matches!(answer, Some(SessionDown::Welcome { .. })), "{answer:?}");
     });
 }
 
 #[test]
-fn a_leader_sends_a_gateway_to_the_distributor_of_its_zone_unless_that_one_fails_it() {
+fn leader_redirects_gateways_to_their_distributor_unless_unreachable() {
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
     let folder = tempfile::tempdir().expect("a folder");
     runtime.block_on(async {
         let actor = leader_in(folder.path()).await;
         let distributor: SocketAddr = ([127, 0, 0, 2], 9).into();
         let _told = link_to(&actor, 7, distributor).await;
-        // The leader tells of its distributors in the period of counts.
+        // The leader announces its distributors once per reporting period.
         tokio::time::sleep(Duration::from_millis(150)).await;
         let mut answers = Vec::new();
         for (session, zone, near_fails) in [(8, "b", false), (9, "b", true), (10, "c", false)] {
-            let (down, mut told) = mpsc::channel(100);
+            let (down, mut received) = mpsc::channel(100);
             let hello = SessionHello {
                 role: SessionRole::Follower,
                 near_fails,
@@ -206,26 +208,27 @@
             };
             actor.cast(ReplicaMessage::Open(session, hello, down)).expect("the replica runs");
             renew(&actor, 7, session);
-            answers.push(told.recv().await);
+            answers.push(received.recv().await);
         }
-        let [sent, kept, other] = &answers[..] else { unreachable!("three gateways came") };
+        let [sent, stayed, other] = &answers[..] else { unreachable!("there are three gateways") };
         assert!(
             matches!(sent, Some(SessionDown::NotLeader { leader }) if *leader == Some(distributor)),
             "{sent:?}"
         );
-        assert!(matches!(kept, Some(SessionDown::Welcome { .. })), "{kept:?}");
-        assert!(matches!(other, Some(SessionDown::Welcome { .. })), "no distributor: {other:?}");
+        assert!(matches!(stayed, Some(SessionDown::Welcome { .. })), "{stayed:?}");
+        assert!(
+            matches!(other, Some(SessionDown::Welcome { .. })),
+            "a zone without a distributor: {other:?}"
+        );
     });
 }
 
-/// What users would see: in a storm of sessions, such as after a change of leader, gateways stayed with the
-/// leader, whose messages then cross a border for each of them.
-/// Order of events: a gateway is welcomed; before the next period of counts another one comes whose zone has
-/// a distributor.
-/// Cause: with each welcome the leader forgot whom it had told of the group, and took that for who is in it.
-/// Evidence: this test; seen first in reading.
+/// Guards against gateways that stay with the leader in a burst of new sessions, such as after a
+/// change of leader, so that the leader's messages cross a zone boundary once for each of them.
+/// With each welcome the leader dropped the group it had announced, so a gateway that connected
+/// before the next reporting period was not redirected to the distributor of its zone.
 #[test]
-fn a_leader_sends_gateways_to_their_distributor_right_after_it_welcomed_another() {
+fn leader_redirects_gateways_right_after_welcoming_another() {
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
     let folder = tempfile::tempdir().expect("a folder");
     runtime.block_on(async {
@@ -235,11 +238,11 @@
         tokio::time::sleep(Duration::from_millis(150)).await;
         for round in 0..10 {
             let open = |session, zone: &str| {
-                let (down, told) = mpsc::channel(100);
+                let (down, received) = mpsc::channel(100);
                 let role = SessionRole::Follower;
                 let hello = SessionHello { role, ..hello("g1".into(), 1, zone.into(), distributor) };
                 actor.cast(ReplicaMessage::Open(session, hello, down)).expect("the replica runs");
-                told
+                received
             };
             renew(&actor, 7, round);
             let mut welcomed = open(100 + round, "c");
@@ -250,7 +253,7 @@
                 matches!(answer, Some(SessionDown::NotLeader { leader }) if leader == Some(distributor)),
                 "round {round}: {answer:?}"
             );
-            let is_told = async {
+            let gets_group = async {
                 while let Some(message) = welcomed.recv().await {
                     if let SessionDown::Group(group) = message {
                         return group.server_of("b") == Some(distributor);
@@ -258,8 +261,8 @@
                 }
                 false
             };
-            let is_told = tokio::time::timeout(Duration::from_secs(1), is_told).await;
-            assert_eq!(is_told, Ok(true), "who is welcomed is told of the group");
+            let gets_group = tokio::time::timeout(Duration::from_secs(1), gets_group).await;
+            assert_eq!(gets_group, Ok(true), "a welcomed gateway gets the group");
         }
     });
 }
