--- a/src/control/placement/endpoint.rs
+++ b/src/control/placement/endpoint.rs
@@ -287,9 +287,9 @@
             if !is_idle || self.is_model_used(now_ms, name) {
                 continue;
             }
-            let own = demand.rate(now_ms, name);
-            if least_demanded.as_ref().is_none_or(|(_, known)| own < *known) {
-                least_demanded = Some((name.clone(), own));
+            let demand_rate = demand.rate(now_ms, name);
+            if least_demanded.as_ref().is_none_or(|(_, known)| demand_rate < *known) {
+                least_demanded = Some((name.clone(), demand_rate));
             }
         }
         least_demanded
@@ -312,9 +312,9 @@
             if !is_idle {
                 continue;
             }
-            let own = demand.rate(now_ms, name);
-            if least_demanded.is_none_or(|(known, _)| own < known) {
-                least_demanded = Some((own, name));
+            let demand_rate = demand.rate(now_ms, name);
+            if least_demanded.is_none_or(|(known, _)| demand_rate < known) {
+                least_demanded = Some((demand_rate, name));
             }
         }
         least_demanded.map(|(_, name)| name.clone())
@@ -388,8 +388,8 @@
                 placed.push(self.to_placed(name, Holding::Coming));
                 let from_store = !self.has_copy(name);
                 self.record_copy(now_ms, name);
-                let early_ms = (store.expected_ms as f64 * FIRST_CHECK_SHARE) as u64;
-                let expected_ms = if from_store { early_ms } else { 0 };
+                let first_check_ms = (store.expected_ms as f64 * FIRST_CHECK_SHARE) as u64;
+                let expected_ms = if from_store { first_check_ms } else { 0 };
                 let pause_ms = FIRST_CHECK_MS.max(expected_ms);
                 let state = PlaceState::Loading { check_at_ms: u64::MAX, pause_ms };
                 self.set_state(now_ms, name, version, state);
--- a/src/control/placement/homes.rs
+++ b/src/control/placement/homes.rs
@@ -384,7 +384,7 @@
 
 /// The number of homes needed for a rate of requests per second and a rate of prompt reading.
 fn wanted_homes(rate: f64, reading_ms_per_s: f64, slots: u32) -> usize {
-    let under_way = rate * ANSWER_DURATION_S;
-    let by_slots = under_way / (f64::from(slots.max(1)) * HOME_SLOT_SHARE);
+    let requests_in_progress = rate * ANSWER_DURATION_S;
+    let by_slots = requests_in_progress / (f64::from(slots.max(1)) * HOME_SLOT_SHARE);
     1 + by_slots.max(reading_ms_per_s / HOME_READING_MS_PER_S) as usize
 }
