--- a/src/control/replica/registration.rs
+++ b/src/control/replica/registration.rs
@@ -12,7 +12,7 @@
 use super::standings::log_standing;
 use super::{Renewal, Replica, Waiter};
 use crate::control::counts::Counts;
-use crate::control::placement::{Placement, UseFrom};
+use crate::control::placement::{Placement, UsageSource};
 use crate::control::session::Session;
 use crate::control::state::Operation;
 use crate::message::{
@@ -329,7 +329,7 @@
         if !keeps_up {
             self.sessions.remove(&id);
         }
-        self.registered.counts.tell_all();
+        self.registered.counts.mark_all_changed();
     }
 
     /// The distributor in the gateway's availability zone, if it should serve the gateway instead
@@ -357,7 +357,7 @@
     ) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         let from =
-            UseFrom { gateway: session.hello.name.clone(), zone: session.hello.zone.clone() };
+            UsageSource { gateway: session.hello.name.clone(), zone: session.hello.zone.clone() };
         match up {
             SessionUp::Renew { sent_at_ms, .. } => {
                 self.queue_renewal(Renewal::Direct { session: id, sent_at_ms });
@@ -367,12 +367,12 @@
             }
             SessionUp::Forwarded(forwarded) => {
                 for Forwarded { gateway, up } in forwarded {
-                    let from = UseFrom { gateway, zone: from.zone.clone() };
+                    let from = UsageSource { gateway, zone: from.zone.clone() };
                     self.handle_gateway_message(now_ms, wall_ms, &from, up);
                 }
             }
             SessionUp::Traffic { loads, used, failing } => {
-                self.registered.counts.take(session, loads);
+                self.registered.counts.update(session, loads);
                 let up = SessionUp::Traffic { loads: Vec::new(), used, failing };
                 self.handle_gateway_message(now_ms, wall_ms, &from, up);
             }
@@ -387,10 +387,10 @@
     }
 
     /// Handles a gateway's message that came on its own session or through a distributor.
-    fn handle_gateway_message(&mut self, now_ms: u64, wall_ms: u64, from: &UseFrom, up: SessionUp) {
+    fn handle_gateway_message(&mut self, now_ms: u64, wall_ms: u64, from: &UsageSource, up: SessionUp) {
         match up {
             SessionUp::Needs(needs) => {
-                self.registered.placement.need(now_ms, &from.zone, needs);
+                self.registered.placement.note_needs(now_ms, &from.zone, needs);
                 self.advance_placement(now_ms, wall_ms);
             }
             SessionUp::Ordered(result) => {
@@ -399,7 +399,7 @@
             }
             SessionUp::Traffic { used, failing, .. } => {
                 self.registered.placement.used(now_ms, from, used);
-                self.registered.placement.failing(now_ms, &failing);
+                self.registered.placement.mark_endpoints_unreachable(now_ms, &failing);
             }
             SessionUp::Crashes(crashes) => self.record_crashes(now_ms, wall_ms, crashes),
             SessionUp::Served(key) => {
