--- a/src/relay/border.rs
+++ b/src/relay/border.rs
@@ -100,7 +100,7 @@
 }
 
 /// Reads and writes what a platform puts into headers.
-pub trait RelayBorder: Send + Sync + 'static {
+pub trait PlatformHeaders: Send + Sync + 'static {
     /// Reads a client's request.
     ///
     /// # Errors
--- a/src/relay/known.rs
+++ b/src/relay/known.rs
@@ -2,7 +2,7 @@
 
 use tokio::sync::watch;
 
-use super::prompt::{KeptPrompts, PromptChain};
+use super::prompt::{PrefixCache, PromptChain};
 use super::waiting::{ReadingPace, UnreadMs, Waiting};
 use crate::hash;
 use crate::message::{Load, RegisteredEndpoint, WeightsName};
@@ -25,7 +25,7 @@
     pub(super) others_running: u32,
     pub(super) waiting: Waiting,
     pub(super) pace: ReadingPace,
-    pub(super) kept: KeptPrompts,
+    pub(super) kept: PrefixCache,
     /// The hash of its address.
     pub(super) hash: u64,
     pub(super) failures: u32,
@@ -85,7 +85,7 @@
             others_running: 0,
             waiting: Waiting::new(),
             pace: ReadingPace::new(),
-            kept: KeptPrompts::new(),
+            kept: PrefixCache::new(),
             failures: 0,
             closed_until_ms: 0,
             backoff: EndpointBackoff::default(),
@@ -118,7 +118,7 @@
 
     /// The tokens of a prompt that the endpoint does not keep.
     pub(super) fn unread_tokens(&self, wanted: &Wanted) -> u32 {
-        wanted.prompt_tokens.saturating_sub(self.kept.kept_tokens(&wanted.prompt))
+        wanted.prompt_tokens.saturating_sub(self.kept.cached_tokens(&wanted.prompt))
     }
 
     /// How fast this endpoint reads, as far as enough answers showed it.
--- a/src/relay/liveness.rs
+++ b/src/relay/liveness.rs
@@ -121,7 +121,7 @@
     }
     // A plain service has nothing to ask that takes no place from requests. An engine that takes
     // connections and answers nothing runs nothing either.
-    if !is_engine || engines.answers(endpoint).await { Liveness::Up } else { Liveness::Ignoring }
+    if !is_engine || engines.probe(endpoint).await { Liveness::Up } else { Liveness::Ignoring }
 }
 
 fn is_refusal(error: &io::Error) -> bool {
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -4,7 +4,7 @@
 //! A relay follows the leader of control for routes, registered endpoints and the weights that they
 //! hold. The gateway that read a request is the only one that may send it, so a request that may
 //! run only once needs no claim: once its bytes may have left for an endpoint, it is never sent
-//! again. How the platform spells requests is behind [`RelayBorder`].
+//! again. How the platform spells requests is behind [`PlatformHeaders`].
 
 mod access;
 mod admission;
@@ -40,7 +40,7 @@
 mod uses;
 mod waiting;
 
-pub use border::{AnswerMeta, Backoff, RateLimit, RelayBorder, RequestMeta, SendMeta};
+pub use border::{AnswerMeta, Backoff, PlatformHeaders, RateLimit, RequestMeta, SendMeta};
 pub use budget::{RetryBudget, WindowUse};
 pub use events::EventSplitter;
 pub use fleet::Fleet;
@@ -51,7 +51,7 @@
 pub use orders::{EngineClient, ORDER_HOLD_MS, ORDER_WRITE_MS, OrderLease};
 pub use pick::Picked;
 pub use process::run;
-pub use prompt::{KeptPrompts, PromptChain, PromptPart};
+pub use prompt::{PrefixCache, PromptChain, PromptPart};
 pub use session::reconnect_max_ms;
 pub use standings::{Permission, Standings};
 pub use waiting::{Prompt, ReadingPace, UnreadMs, Waiting};
--- a/src/relay/orders.rs
+++ b/src/relay/orders.rs
@@ -49,5 +49,5 @@
     fn carry_out(&self, order: EngineOrder, lease: OrderLease) -> BoxFuture<'static, OrderOutcome>;
 
     /// Asks an engine anything that it answers at once; false when it does not.
-    fn answers(&self, endpoint: &RegisteredEndpoint) -> BoxFuture<'static, bool>;
+    fn probe(&self, endpoint: &RegisteredEndpoint) -> BoxFuture<'static, bool>;
 }
--- a/src/relay/process.rs
+++ b/src/relay/process.rs
@@ -11,7 +11,7 @@
 use tokio::sync::{mpsc, watch};
 use tracing::{info, warn};
 
-use super::border::RelayBorder;
+use super::border::PlatformHeaders;
 use super::crashes::CrashWatch;
 use super::exchange::{RelayHandler, ready_status};
 use super::liveness;
@@ -42,7 +42,7 @@
 /// A listener that cannot be opened.
 pub async fn run(
     settings: RelaySettings,
-    border: Arc<dyn RelayBorder>,
+    border: Arc<dyn PlatformHeaders>,
     engines: Arc<dyn EngineClient>,
 ) -> Result<()> {
     let metrics = Metrics::new(&settings.metrics_prefix, settings.metrics_address)?;
--- a/src/relay/prompt.rs
+++ b/src/relay/prompt.rs
@@ -71,7 +71,7 @@
 
 /// What an endpoint keeps of the prompts that this gateway sent there.
 #[derive(Debug, Default)]
-pub struct KeptPrompts {
+pub struct PrefixCache {
     parts: HashMap<u64, Kept>,
     /// Each use of a part, the oldest first.
     uses: VecDeque<(u64, u64)>,
@@ -79,7 +79,7 @@
     count: u64,
 }
 
-impl KeptPrompts {
+impl PrefixCache {
     /// Keeps nothing.
     pub fn new() -> Self {
         Self::default()
@@ -96,7 +96,7 @@
     }
 
     /// The tokens of `chain` that need not be read.
-    pub fn kept_tokens(&self, chain: &PromptChain) -> u32 {
+    pub fn cached_tokens(&self, chain: &PromptChain) -> u32 {
         let mut tokens: u32 = 0;
         for link in &*chain.links {
             if !self.parts.contains_key(&link.hash) {
--- a/src/relay/shared.rs
+++ b/src/relay/shared.rs
@@ -8,7 +8,7 @@
 use tokio::sync::{Notify, mpsc};
 use tracing::info;
 
-use super::border::RelayBorder;
+use super::border::PlatformHeaders;
 use super::budget::RetryBudget;
 use super::crashes::CrashWatch;
 use super::fleet::Fleet;
@@ -36,7 +36,7 @@
     pub settings: RelaySettings,
     /// Counters.
     pub metrics: Metrics,
-    pub(super) border: Arc<dyn RelayBorder>,
+    pub(super) border: Arc<dyn PlatformHeaders>,
     pub(super) pool: Pool,
     pub(super) changed: Notify,
     /// A newer version of some weights became known.
@@ -59,7 +59,7 @@
     /// A relay that knows nothing yet.
     pub(super) fn new(
         settings: RelaySettings,
-        border: Arc<dyn RelayBorder>,
+        border: Arc<dyn PlatformHeaders>,
         metrics: Metrics,
         needs: mpsc::UnboundedSender<AdapterNeed>,
         crashes: CrashWatch,
--- a/tests/fuzz_documents.rs
+++ b/tests/fuzz_documents.rs
@@ -17,7 +17,7 @@
 };
 use winchvane::message::WeightsName;
 use winchvane::operator::to_yaml;
-use winchvane::relay::{KeptPrompts, PromptChain, PromptPart};
+use winchvane::relay::{PrefixCache, PromptChain, PromptPart};
 use winchvane::routing::{
     Repeat, RequestLimits, Route, RouteTable, RoutingConfiguration, ServiceSpec, Target,
 };
@@ -282,7 +282,7 @@
     let part = (0..200_u64, tokens).prop_map(|(id, tokens)| PromptPart { id, tokens });
     let prompts = vec((vec(part, 0..100), "[ab]"), 0..20);
     check((prompts, 0..20_000_u64), |(prompts, capacity_tokens)| {
-        let mut kept = KeptPrompts::new();
+        let mut kept = PrefixCache::new();
         for (parts, adapter) in prompts {
             let chain = PromptChain::new(&WeightsName::new("base", Some(&adapter)), &parts);
             kept.note(&chain, capacity_tokens);
@@ -291,7 +291,7 @@
                 .iter()
                 .take(PARTS_MAX)
                 .fold(0, |sum, part| sum + u64::from(part.tokens).max(PART_TOKENS_MIN));
-            prop_assert!(u64::from(kept.kept_tokens(&chain)) <= total);
+            prop_assert!(u64::from(kept.cached_tokens(&chain)) <= total);
             if let Some((_, shared_tokens)) = chain.shared() {
                 prop_assert!(u64::from(shared_tokens) <= total);
             }
@@ -360,7 +360,7 @@
 /// engine keeps falls below 0: the new length is noted and the count stays at the old one.
 #[test]
 fn a_part_told_with_another_length_is_counted_anew() {
-    let mut kept = KeptPrompts::new();
+    let mut kept = PrefixCache::new();
     let weights = WeightsName::new("base", None);
     for (id, tokens, capacity_tokens) in [(49, 0, 1_000), (49, 65, 1_000), (7, 0, 16), (8, 0, 16)] {
         let chain = PromptChain::new(&weights, &[PromptPart { id, tokens }]);
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -3,7 +3,7 @@
 use winchvane::message::{EndpointLoad, Holding, Load, Placed, RegisteredEndpoint, WeightsName};
 use winchvane::policy::rank::{LATE_RANK, Urgency};
 use winchvane::relay::{
-    EventSplitter, Fleet, IdleConnections, KeptPrompts, Picked, Prompt, PromptChain, PromptPart,
+    EventSplitter, Fleet, IdleConnections, Picked, PrefixCache, Prompt, PromptChain, PromptPart,
     ReadingPace, RetryBudget, Waiting, Wanted, reconnect_max_ms,
 };
 
@@ -194,29 +194,29 @@
         PromptChain::new(weights, &parts)
     };
     let (one, other) = (adapter(), WeightsName::new("base", Some("other")));
-    let mut kept = KeptPrompts::new();
+    let mut kept = PrefixCache::new();
     kept.note(&chain(&one, &[1, 2, 3]), 1_000);
-    assert_eq!(kept.kept_tokens(&chain(&one, &[1, 2, 9])), 200);
-    assert_eq!(kept.kept_tokens(&chain(&one, &[2, 3])), 0, "only after the parts before");
-    assert_eq!(kept.kept_tokens(&chain(&other, &[1, 2, 3])), 0, "another adapter reads it anew");
+    assert_eq!(kept.cached_tokens(&chain(&one, &[1, 2, 9])), 200);
+    assert_eq!(kept.cached_tokens(&chain(&one, &[2, 3])), 0, "only after the parts before");
+    assert_eq!(kept.cached_tokens(&chain(&other, &[1, 2, 3])), 0, "another adapter reads it anew");
     kept.note(&chain(&one, &[1, 7]), 1_000);
     kept.note(&chain(&one, &[11, 12, 13]), 500);
-    assert_eq!(kept.kept_tokens(&chain(&one, &[1, 2])), 100, "the unused ones gave way");
+    assert_eq!(kept.cached_tokens(&chain(&one, &[1, 2])), 100, "the unused ones gave way");
     for id in 0..10_000 {
         kept.note(&chain(&one, &[1, id]), 400);
     }
-    assert_eq!(kept.kept_tokens(&chain(&one, &[1])), 100, "what is used again and again stays");
+    assert_eq!(kept.cached_tokens(&chain(&one, &[1])), 100, "what is used again and again stays");
 }
 
 #[test]
 fn absurd_parts_of_a_prompt_take_no_memory_and_break_nothing() {
-    let mut kept = KeptPrompts::new();
+    let mut kept = PrefixCache::new();
     let largest = [PromptPart { id: 1, tokens: u32::MAX }, PromptPart { id: 2, tokens: u32::MAX }];
     let chain = PromptChain::new(&adapter(), &[largest[0], largest[1], largest[0]]);
     kept.note(&chain, u64::MAX);
-    assert_eq!(kept.kept_tokens(&chain), u32::MAX);
+    assert_eq!(kept.cached_tokens(&chain), u32::MAX);
     assert_eq!(chain.shared().map(|(_, tokens)| tokens), Some(u32::MAX));
-    let mut kept = KeptPrompts::new();
+    let mut kept = PrefixCache::new();
     for round in 0..200 {
         let mut empty = Vec::new();
         for id in 0..1_000 {
