--- a/src/relay/access.rs
+++ b/src/relay/access.rs
@@ -1,4 +1,5 @@
-//! Whose a request is, and whether it may run.
+//! Authenticates requests: finds the workspace of a request's API key and whether the key is still
+//! valid.
 
 use std::sync::Arc;
 
@@ -6,25 +7,26 @@
 use super::shared::Relay;
 use crate::routing::{Credential, KeyRefusal, Quota, Route, RouteTable, Workspace};
 
-/// When a client may come again to a gateway that does not know for certain which keys are valid.
-const KEYS_UNKNOWN_AGAIN_MS: u64 = 300;
+/// `Retry-After` of a request that a gateway refuses because its list of valid keys may be
+/// outdated.
+const KEYS_UNKNOWN_RETRY_MS: u64 = 300;
 
-/// The workspace of a request, by the key that it carries.
+/// The workspace that a request was authenticated for.
 #[derive(Debug, Clone)]
 pub(super) struct Access {
     credential: Credential,
-    /// None where no key is needed.
+    /// `None` if the route needs no key.
     pub(super) workspace: Option<Arc<Workspace>>,
-    /// The configuration by which this was found.
+    /// The version of the routing configuration that `workspace` was found in.
     version: u64,
 }
 
 impl Access {
-    /// Finds whose a request on `route` is.
+    /// Authenticates a request on `route`.
     ///
     /// # Errors
-    /// Its key does not let it in, or it is not certain that it still does.
-    pub(super) fn find(
+    /// / The key is not valid for the route, or this gateway cannot tell whether it still is.
+    pub(super) fn authenticate(
         relay: &Relay,
         now_ms: u64,
         table: &RouteTable,
@@ -35,23 +37,23 @@
         if !table.needs_key(route) {
             return Ok(Self { credential, workspace: None, version });
         }
-        let unknown = NotSent::KeysUnknown { after_ms: KEYS_UNKNOWN_AGAIN_MS };
+        let unknown = NotSent::KeysUnknown { after_ms: KEYS_UNKNOWN_RETRY_MS };
         if relay.keys_valid_ms(now_ms) == 0 {
             return Err(unknown);
         }
         match table.workspace_of(route, credential) {
             Ok(workspace) => Ok(Self { credential, workspace, version }),
-            // It may be newer than what is known here.
+            // The key may have been added since this gateway's last update.
             Err(KeyRefusal::Unknown) if !relay.is_confirmed(now_ms) => Err(unknown),
             Err(refusal) => Err(NotSent::Unauthorized(refusal)),
         }
     }
 
-    /// Looks again after a wait: the key may have been taken away meanwhile.
+    /// Checks after a wait that the key was not revoked meanwhile.
     ///
     /// # Errors
-    /// The key lets it in no longer, or belongs to another workspace now.
-    pub(super) fn is_held_still(&self, relay: &Relay, route: &Route) -> Result<(), NotSent> {
+    /// / The key is no longer valid for the route, or now belongs to another workspace.
+    pub(super) fn check_still_valid(&self, relay: &Relay, route: &Route) -> Result<(), NotSent> {
         let Some(workspace) = &self.workspace else { return Ok(()) };
         let table = relay.table();
         if table.version() == self.version {
@@ -66,18 +68,18 @@
         }
     }
 
-    /// The workspace and how much it may ask for, where that is limited.
+    /// The workspace and its quota, if it has one.
     pub(super) fn quota(&self) -> Option<(&Workspace, Quota)> {
         let workspace = self.workspace.as_deref()?;
         Some((workspace, workspace.quota?))
     }
 
-    /// The name by which endpoints know the workspace.
+    /// The workspace name that is sent to endpoints.
     pub(super) fn workspace_name(&self) -> Option<Arc<str>> {
         self.workspace.as_ref().map(|workspace| workspace.name.clone())
     }
 
-    /// The rank of the workspace's requests, where it has one.
+    /// The priority of the workspace's requests, if it sets one.
     pub(super) fn priority(&self) -> Option<u8> {
         self.workspace.as_ref().and_then(|workspace| workspace.priority)
     }
--- a/src/relay/admission.rs
+++ b/src/relay/admission.rs
@@ -1,4 +1,4 @@
-//! Taking a request in: its headers, its route, its body.
+//! Admits client requests: reads headers and body, finds the route, checks key and quota.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,19 +14,19 @@
 use super::border::RequestMeta;
 use super::exchange::remove_connection_headers;
 use super::quota::UsedCredit;
-use super::refusal::{NotSent, come_back, own_answer, refuse};
+use super::refusal::{NotSent, own_answer, refuse, refuse_unavailable};
 use super::shared::Relay;
 use crate::http::{Answer, BodyFault, header, read_body};
 use crate::metrics::Counter;
 use crate::routing::{Chosen, RouteTable};
 
-/// How long a client's body may take.
+/// The time limit for reading a client's request body.
 const BODY_TIMEOUT_MS: u64 = 3_000;
-/// How long a request waits at a gateway that knows no routes yet: what a gateway needs to find a
-/// leader that has just been elected. Less than clients give a gateway to read a request.
+/// How long a request waits on a gateway that has no routes yet: the time a gateway needs to find a
+/// newly elected leader. It is shorter than the time clients allow for reading a request.
 const FIRST_ROUTES_WAIT_MS: u64 = 400;
 
-/// A request that was read whole.
+/// A request that was read completely and may be sent.
 pub(super) struct Admitted {
     pub(super) meta: RequestMeta,
     pub(super) chosen: Chosen,
@@ -34,36 +34,37 @@
     pub(super) used_credit: Option<UsedCredit>,
     pub(super) method: Method,
     pub(super) target: Uri,
-    /// What passes on to an endpoint.
+    /// The headers to forward to an endpoint.
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
 }
 
-/// Reads a request whole and finds its route.
+/// Reads a request completely and finds its route.
 ///
 /// # Errors
-/// The answer that refuses it.
+/// / The response that refuses the request.
 pub(super) async fn admit(
     relay: &Arc<Relay>,
     started_ms: u64,
     request: Request<Incoming>,
 ) -> Result<Admitted, Answer> {
     let (head, body) = request.into_parts();
-    let meta = relay.border.read_request(&head.headers).map_err(|detail| {
+    let meta = relay.platform_headers.read_request(&head.headers).map_err(|detail| {
         info!(event = "request_invalid", detail = %detail);
         own_answer(StatusCode::BAD_REQUEST, &detail)
     })?;
     for field in &meta.unread {
         info!(event = "request_unclear", request = %meta.id, field);
     }
-    let table = known_table(relay, started_ms).await;
+    let table = await_table(relay, started_ms).await;
     let host = header(&head.headers, HOST.as_str()).unwrap_or_default();
     let Some(chosen) = table.find(host, head.uri.path(), &meta.id) else {
         return Err(no_route(relay, &table, &meta));
     };
-    let refused = |reason: NotSent| refuse_early(relay, started_ms, &meta, &chosen, reason);
-    // As of when the request was read: what the leader confirms later does not change when it was sent.
-    let access = Access::find(relay, started_ms, &table, &chosen.route, meta.credential)
+    let refused = |reason: NotSent| refuse_unsent(relay, started_ms, &meta, &chosen, reason);
+    // Checked at the time the request was read: a later confirmation by the leader must not change
+    // the result.
+    let access = Access::authenticate(relay, started_ms, &table, &chosen.route, meta.credential)
         .map_err(&refused)?;
     let limits = table.configuration().limits;
     let body = read_body(body, limits.body_max_bytes, BODY_TIMEOUT_MS).await.map_err(|fault| {
@@ -86,7 +87,7 @@
     let mut headers = head.headers;
     remove_connection_headers(&mut headers);
     headers.remove(CONTENT_LENGTH);
-    relay.border.remove_reserved(&mut headers);
+    relay.platform_headers.remove_reserved(&mut headers);
     Ok(Admitted {
         meta,
         chosen,
@@ -99,15 +100,16 @@
     })
 }
 
-/// The routes; a gateway that has just started waits a little until the leader tells them, and that they are
-/// the newest: else it could let no key in.
-async fn known_table(relay: &Relay, started_ms: u64) -> Arc<RouteTable> {
+/// Returns the routing table. A gateway that has just started first waits up to
+/// [`FIRST_ROUTES_WAIT_MS`] until the leader has sent a table and confirmed that it is the newest;
+/// without that it could accept no key.
+async fn await_table(relay: &Relay, started_ms: u64) -> Arc<RouteTable> {
     let until_ms = started_ms + FIRST_ROUTES_WAIT_MS;
     loop {
         let changed = relay.changed.notified();
         let table = relay.table();
         let now_ms = relay.now_ms();
-        let is_known = table.version() > 0 && relay.was_confirmed();
+        let is_known = table.version() > 0 && relay.has_been_confirmed();
         if is_known || now_ms >= until_ms {
             return table;
         }
@@ -115,8 +117,8 @@
     }
 }
 
-/// Refuses a request whose route is known before anything is looked for.
-fn refuse_early(
+/// Refuses a request after its route was found and before an endpoint is selected.
+fn refuse_unsent(
     relay: &Relay,
     started_ms: u64,
     meta: &RequestMeta,
@@ -147,5 +149,5 @@
     if is_certain {
         return own_answer(StatusCode::NOT_FOUND, "no route");
     }
-    come_back("the routes are not known for certain", 300)
+    refuse_unavailable("the routes are not known for certain", 300)
 }
--- a/src/relay/attempt.rs
+++ b/src/relay/attempt.rs
@@ -1,4 +1,4 @@
-//! Choosing an endpoint for a request, and one send to it.
+//! Waits for an endpoint that can take a request, and sends the request to it once.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -23,69 +23,71 @@
 use crate::policy::rank::LATE_RANK;
 use crate::routing::Repeat;
 
-/// How much before a quarter of the latency objective a request that found no place is refused; a
-/// refusal costs nothing until then.
-const PATIENCE_MARGIN_MS: u64 = 12;
-/// How long a request waits for weights that are on their way, as a share of the latency objective.
-const LOAD_HOLD_PERCENT: u64 = 180;
+/// How long before a quarter of the latency objective a request that found no free endpoint is
+/// refused; until then a refusal costs the client nothing.
+const REFUSAL_MARGIN_MS: u64 = 12;
+/// How long a request waits for weights that are being loaded, in percent of the latency objective.
+const LOAD_WAIT_PERCENT: u64 = 180;
 
-/// How long nothing comes of an answer that has begun before its endpoint is asked whether it is still there.
-const SILENT_MS: u64 = 400;
-/// The same for an answer that has not begun, while the endpoint begins no other one either.
-const NOT_BEGUN_SILENT_MS: u64 = 800;
-/// How long after an endpoint was replaced its last answers may take to come.
-const LAST_ANSWERS_MS: u64 = 300;
+/// How long a started response may bring no data before its endpoint is probed, and the interval of
+/// further probes.
+const SILENT_PROBE_MS: u64 = 400;
+/// The same for a response that has not started, while the endpoint starts no other response
+/// either.
+const NOT_STARTED_PROBE_MS: u64 = 800;
+/// How long responses may still arrive after their endpoint was found to have ended.
+const LAST_RESPONSES_MS: u64 = 300;
 
-/// A request that runs at an endpoint; dropped when its answer has ended either way.
-pub(super) struct Flight {
+/// A request in flight at an endpoint; dropped when its response has ended or failed.
+pub(super) struct InFlightRequest {
     relay: Arc<Relay>,
     weights: Option<WeightsName>,
     number: u64,
     pub(super) endpoint: Arc<str>,
     pub(super) address: std::net::SocketAddr,
     ended: Option<watch::Receiver<IncarnationEnd>>,
-    /// The end from which an answer is not waited for any longer.
-    enough: IncarnationEnd,
+    /// The least certain evidence of the endpoint's end that stops the wait for the response.
+    give_up_on: IncarnationEnd,
 }
 
-impl Flight {
-    /// Returns once the endpoint is found to have ended, which may be never: its own connections need
-    /// not have been closed by then.
-    pub(super) async fn ended(&self) {
+impl InFlightRequest {
+    /// Returns once the endpoint is found to have ended, or never. The endpoint's connections may
+    /// still be open at that time.
+    pub(super) async fn wait_for_end(&self) {
         if let Some(mut ended) = self.ended.clone()
-            && ended.wait_for(|ended| *ended >= self.enough).await.is_ok()
+            && ended.wait_for(|ended| *ended >= self.give_up_on).await.is_ok()
         {
-            // What it answered before may still be on its way.
-            tokio::time::sleep(Duration::from_millis(LAST_ANSWERS_MS)).await;
+            // Responses that the endpoint sent before may still be in transit.
+            tokio::time::sleep(Duration::from_millis(LAST_RESPONSES_MS)).await;
             return;
         }
         std::future::pending::<()>().await;
     }
 
-    /// How the endpoint was found to have ended; none while its answer is still waited for.
+    /// How the endpoint was found to have ended; `None` while the response is still awaited.
     pub(super) fn end(&self) -> Option<IncarnationEnd> {
         let end = *self.ended.as_ref()?.borrow();
-        (end >= self.enough).then_some(end)
+        (end >= self.give_up_on).then_some(end)
     }
 
-    /// Asks whether the endpoint is still there, unless the answer would be waited for anyhow.
-    fn ask_silent(&self) {
-        if self.enough == IncarnationEnd::Unreachable {
-            self.relay.ask_silent(&self.endpoint);
+    /// Probes the endpoint, unless the response is awaited whatever the result.
+    fn probe_silent(&self) {
+        if self.give_up_on == IncarnationEnd::Unreachable {
+            self.relay.probe_silent(&self.endpoint);
         }
     }
 
-    /// Asks the endpoint again and again whether it is still there; awaited beside the next part of its
-    /// answer and dropped when that comes.
-    pub(super) async fn ask_while_silent(&self) -> Infallible {
+    /// Probes the endpoint repeatedly; awaited alongside the next part of the response and dropped
+    /// when that arrives.
+    pub(super) async fn probe_while_silent(&self) -> Infallible {
         loop {
-            self.relay.clock.sleep_until(self.relay.now_ms() + SILENT_MS).await;
-            self.ask_silent();
+            self.relay.clock.sleep_until(self.relay.now_ms() + SILENT_PROBE_MS).await;
+            self.probe_silent();
         }
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlightRequest {
     fn drop(&mut self) {
         let now_ms = self.relay.now_ms();
         let weights = self.weights.as_ref();
@@ -94,14 +96,14 @@
     }
 }
 
-/// The head of an endpoint's answer, its body still on the way.
-pub(super) struct Started {
-    pub(super) flight: Flight,
+/// A response whose head has arrived and whose body is still being received.
+pub(super) struct StartedResponse {
+    pub(super) flight: InFlightRequest,
     pub(super) connection: Connection,
     pub(super) response: Response<Incoming>,
 }
 
-/// The endpoint that a request goes to.
+/// The endpoint selected for a request.
 pub(super) struct Target {
     pub(super) id: Arc<str>,
     pub(super) name: Arc<str>,
@@ -110,27 +112,28 @@
     pub(super) held_version: Option<u64>,
     pub(super) rank: Option<u8>,
     pub(super) expected_ms: u64,
-    /// What it had to wait for first; empty when it did not wait.
+    /// What the request waited for before the endpoint was selected; empty if it did not wait.
     pub(super) waited_for: &'static str,
 }
 
-/// What came of one send.
+/// The result of one send.
 pub(super) enum Attempt {
-    Started(Box<Started>),
+    Started(Box<StartedResponse>),
     NotRun(&'static str),
-    /// The endpoint refused it and asked for backoff.
+    /// The endpoint refused the request and asked for backoff.
     RefusedWithBackoff,
     Unknown(String),
-    /// No answer came before the deadline.
+    /// No response came before the deadline.
     Overdue,
-    /// The endpoint closed no connection and was found to have ended.
+    /// The endpoint was found to have ended without closing its connections.
     Ended(IncarnationEnd),
-    /// Its connection was closed, since it may not begin any more on what the endpoint holds.
+    /// The connection was closed because the request may no longer start on the version that the
+    /// endpoint holds.
     TakenBack,
 }
 
-/// Why an answer is not waited for any longer.
-enum Overdue {
+/// Why the wait for a response was given up.
+enum WaitAborted {
     /// The deadline passed.
     Deadline,
     /// The endpoint was found to have ended.
@@ -140,14 +143,15 @@
 }
 
 impl Exchange {
-    /// Waits until an endpoint can take the request, as long as that is worth it.
+    /// Waits until an endpoint can take the request, within the limits that the route's latency
+    /// objective sets.
     pub(super) async fn pick(&self) -> Result<Target, NotSent> {
         let quarter_ms = self.chosen.route.latency_objective_ms / 4;
-        let patience_ms = quarter_ms.saturating_sub(PATIENCE_MARGIN_MS);
-        let until_ms = (self.started_ms + patience_ms).min(self.ends_at_ms);
-        // Weights that are on their way are worth more than a refusal, also when the answer is late.
-        let hold_ms = self.chosen.route.latency_objective_ms * LOAD_HOLD_PERCENT / 100;
-        let hold_until_ms = (self.started_ms + hold_ms).min(self.ends_at_ms);
+        let max_wait_ms = quarter_ms.saturating_sub(REFUSAL_MARGIN_MS);
+        let until_ms = (self.started_ms + max_wait_ms).min(self.ends_at_ms);
+        // A late response from weights that are being loaded is worth more than a refusal.
+        let load_wait_ms = self.chosen.route.latency_objective_ms * LOAD_WAIT_PERCENT / 100;
+        let load_wait_until_ms = (self.started_ms + load_wait_ms).min(self.ends_at_ms);
         let mut asked = false;
         let mut waited_for = "";
         loop {
@@ -193,7 +197,7 @@
             if waited_for.is_empty() {
                 waited_for = reason;
             }
-            let until_ms = if picked == Picked::Coming { hold_until_ms } else { until_ms };
+            let until_ms = if picked == Picked::Coming { load_wait_until_ms } else { until_ms };
             if let (Some(weights), false) = (weights, asked) {
                 asked = true;
                 let need = AdapterNeed {
@@ -202,7 +206,7 @@
                     requests: 1,
                     more: picked == Picked::Full,
                 };
-                self.relay.ask_for(need);
+                self.relay.request_weights(need);
             }
             if now_ms >= self.ends_at_ms {
                 return Err(NotSent::Late);
@@ -223,7 +227,8 @@
         }
     }
 
-    /// The weights that an engine must hold; a plain service holds none, whatever the client says.
+    /// The weights that an engine must hold; `None` for a plain service, whatever weights the
+    /// client names.
     fn engine_weights(&self) -> Option<&WeightsName> {
         self.meta.weights.as_ref().filter(|_| self.chosen.service.engine.is_some())
     }
@@ -233,7 +238,7 @@
         let memory_tokens =
             self.chosen.service.engine.as_ref().map_or(0, |spec| spec.memory_tokens);
         let objective_at_ms = self.started_ms + route.latency_objective_ms;
-        // No engine reads more than it has room for, whatever the client says.
+        // A prompt cannot exceed the engine's memory, whatever length the client states.
         let prompt_max_tokens = match memory_tokens {
             0 => u32::MAX,
             room => u32::try_from(room).unwrap_or(u32::MAX),
@@ -253,7 +258,7 @@
         let mut connection = match relay.pool.connection(address).await {
             Ok(connection) => connection,
             Err(error) => {
-                relay.fleet().unreachable(relay.now_ms(), &send.endpoint);
+                relay.fleet().mark_unreachable(relay.now_ms(), &send.endpoint);
                 info!(event = "endpoint_unreachable", endpoint = %send.endpoint, error = %error);
                 return Attempt::NotRun("the endpoint cannot be reached");
             }
@@ -263,29 +268,30 @@
         let wanted = weights.map(|weights| self.wanted(now_ms, weights));
         let is_late = send.priority >= LATE_RANK;
         let number = relay.fleet().start(now_ms, &send.endpoint, wanted.as_ref(), is_late);
-        let flight = Flight {
+        let flight = InFlightRequest {
             relay: relay.clone(),
             weights: weights.cloned(),
             number,
             endpoint: send.endpoint.clone(),
             address,
             ended: relay.fleet().watch_end(&send.endpoint),
-            enough: match self.chosen.route.repeat {
-                // An endpoint that is ending may still answer what cannot be sent again.
+            give_up_on: match self.chosen.route.repeat {
+                // An endpoint that is shutting down may still answer a request that must not be
+                // resent.
                 Repeat::Once => IncarnationEnd::Replaced,
                 Repeat::Any | Repeat::Resume => IncarnationEnd::Unreachable,
             },
         };
         let peer = &*send.endpoint;
         let sending = pool::send(&mut connection, peer, self.request(send));
-        let response = match self.answered_in_time(sending, &flight).await {
-            Err(Overdue::Deadline) => {
+        let response = match self.wait_for_head(sending, &flight).await {
+            Err(WaitAborted::Deadline) => {
                 return Attempt::Overdue;
             }
-            Err(Overdue::Ended) => {
+            Err(WaitAborted::Ended) => {
                 return Attempt::Ended(flight.end().unwrap_or(IncarnationEnd::Replaced));
             }
-            Err(Overdue::Replaced) => return Attempt::TakenBack,
+            Err(WaitAborted::Replaced) => return Attempt::TakenBack,
             Ok(Err(SendFailure::NotSent(error))) => {
                 info!(event = "send_lost", endpoint = %send.endpoint, error = %error);
                 return Attempt::NotRun("the connection was closed");
@@ -293,7 +299,7 @@
             Ok(Err(SendFailure::Unknown(error))) => return Attempt::Unknown(error.to_string()),
             Ok(Ok(response)) => response,
         };
-        let head = relay.border.read_answer(response.status(), response.headers());
+        let head = relay.platform_headers.read_answer(response.status(), response.headers());
         relay.note_endpoint_state(&send.endpoint, self.sent_at_ms, &head);
         if head.misdirected {
             if let Some(weights) = weights {
@@ -308,55 +314,55 @@
             }
             return Attempt::NotRun("the endpoint refused");
         }
-        // An overloaded endpoint can also ask for backoff in the answer to a request that it started.
+        // An overloaded endpoint may ask for backoff even in a response to a request that it ran.
         if head.backoff == Backoff::None {
             relay.fleet().answered(relay.now_ms(), &send.endpoint, number);
         }
-        Attempt::Started(Box::new(Started { flight, connection, response }))
+        Attempt::Started(Box::new(StartedResponse { flight, connection, response }))
     }
 
-    /// Waits for the head of an answer until the deadline, or until the request may not begin any
-    /// more on the version to which it was sent.
+    /// Waits for the head of a response until the deadline, or until the request may no longer
+    /// start on the weights version it was sent to.
     ///
-    /// What bounds its wait is here and not at the endpoint alone, which takes no order while it
-    /// stands still, or while its order holder is lost.
-    async fn answered_in_time<T>(
+    /// The gateway enforces this limit itself, because an endpoint takes no orders while it hangs
+    /// or while its order holder is lost.
+    async fn wait_for_head<T>(
         &self,
         answer: impl Future<Output = T>,
-        flight: &Flight,
-    ) -> Result<T, Overdue> {
-        let ended = flight.ended();
+        flight: &InFlightRequest,
+    ) -> Result<T, WaitAborted> {
+        let ended = flight.wait_for_end();
         tokio::pin!(ended);
         tokio::pin!(answer);
         let mut begin_by_ms = None;
-        let mut ask_at_ms = self.sent_at_ms + NOT_BEGUN_SILENT_MS;
+        let mut ask_at_ms = self.sent_at_ms + NOT_STARTED_PROBE_MS;
         loop {
             let version_known = self.relay.version_known.notified();
             tokio::pin!(version_known);
             version_known.as_mut().enable();
             let now_ms = self.relay.now_ms();
-            // The first newer version bounds it, whatever comes after that one.
+            // The first newer version sets the limit; later versions do not extend it.
             begin_by_ms = begin_by_ms.or_else(|| self.begin_by_ms(now_ms));
             let until_ms = begin_by_ms.unwrap_or(u64::MAX).min(self.ends_at_ms);
             tokio::select! {
                 biased;
                 answered = &mut answer => return Ok(answered),
                 () = &mut version_known => continue,
-                () = &mut ended => return Err(Overdue::Ended),
+                () = &mut ended => return Err(WaitAborted::Ended),
                 () = self.relay.clock.sleep_until(ask_at_ms.min(until_ms)) => {}
             }
             if self.relay.now_ms() < until_ms {
-                ask_at_ms = self.relay.now_ms() + NOT_BEGUN_SILENT_MS;
+                ask_at_ms = self.relay.now_ms() + NOT_STARTED_PROBE_MS;
                 if self.relay.fleet().is_silent_since(self.sent_at_ms, &flight.endpoint) {
-                    flight.ask_silent();
+                    flight.probe_silent();
                 }
                 continue;
             }
             if self.relay.now_ms() >= self.ends_at_ms {
-                return Err(Overdue::Deadline);
+                return Err(WaitAborted::Deadline);
             }
-            if !self.may_have_begun(&flight.endpoint) {
-                return Err(Overdue::Replaced);
+            if !self.may_have_started(&flight.endpoint) {
+                return Err(WaitAborted::Replaced);
             }
             begin_by_ms = Some(u64::MAX);
         }
@@ -367,9 +373,9 @@
         self.relay.fleet().begin_by_ms(now_ms, weights, self.held_version?)
     }
 
-    /// A stream shows that it has begun; an answer that comes whole has begun unless nothing at all
-    /// was answered there since it was sent.
-    fn may_have_begun(&self, endpoint: &str) -> bool {
+    /// Returns false for streams, whose first bytes would show that they have started. Any other
+    /// request may have started if the endpoint has answered anything since it was sent.
+    fn may_have_started(&self, endpoint: &str) -> bool {
         !self.chosen.route.streams && !self.relay.fleet().is_silent_since(self.sent_at_ms, endpoint)
     }
 
@@ -378,7 +384,7 @@
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.target.clone();
         *request.headers_mut() = self.headers.clone();
-        self.relay.border.write_request(request.headers_mut(), send);
+        self.relay.platform_headers.write_request(request.headers_mut(), send);
         request
     }
 }
--- a/src/relay/border.rs
+++ b/src/relay/border.rs
@@ -1,4 +1,4 @@
-//! How a platform spells requests and answers.
+//! The interface to the HTTP headers that a platform uses for requests and responses.
 
 use std::sync::Arc;
 
@@ -8,57 +8,58 @@
 use crate::message::WeightsName;
 use crate::routing::Credential;
 
-/// What a request's headers say.
+/// The metadata in a request's headers.
 #[derive(Debug, Clone, Default)]
 pub struct RequestMeta {
-    /// The client's id for this attempt of its own.
+    /// The client's id for this attempt.
     pub id: Arc<str>,
     /// How long the client waits.
     pub deadline_ms: Option<u64>,
-    /// The weights that have to answer it.
+    /// The weights that the request needs.
     pub weights: Option<WeightsName>,
-    /// The tokens of its prompt.
+    /// The length of the prompt.
     pub prompt_tokens: u32,
-    /// The parts of its prompt, in order, where they are told.
+    /// The parts of the prompt in order, if the client states them.
     pub prompt_parts: Vec<PromptPart>,
-    /// The most tokens that its answer may have.
+    /// The maximum length of the output.
     pub output_tokens: u32,
-    /// Fields of the prompt that could not be read, or not whole; what is missing counts as nothing.
+    /// Names of prompt fields that could not be read, or only in part; unreadable values count as
+    /// 0.
     pub unread: Vec<&'static str>,
-    /// The number of the last event that the client has, where it takes a stream up.
+    /// The id of the last event that the client received, if it resumes a stream.
     pub last_event: Option<u64>,
-    /// Whose request it is.
+    /// The client's credential.
     pub credential: Credential,
 }
 
 impl RequestMeta {
-    /// The tokens of its prompt and the most of its answer; none where they are not told.
+    /// The tokens of the prompt plus the maximum output; `None` if the client states neither.
     pub fn tokens(&self) -> Option<u64> {
         let tokens = u64::from(self.prompt_tokens) + u64::from(self.output_tokens);
         (tokens > 0).then_some(tokens)
     }
 }
 
-/// What the relay adds to a request for one endpoint.
+/// The metadata that the relay adds when it sends a request to an endpoint.
 #[derive(Debug, Clone)]
 pub struct SendMeta {
     /// The endpoint's incarnation.
     pub endpoint: Arc<str>,
-    /// The endpoint's name; one that goes by another name must refuse.
+    /// The endpoint's name; an endpoint with another name must refuse the request.
     pub endpoint_name: Arc<str>,
-    /// How long the answer may take.
+    /// How long the response may take.
     pub deadline_ms: u64,
-    /// The last event that the client has, where a stream is taken up.
+    /// The id of the last event that the client received, if a stream is resumed.
     pub last_event: Option<u64>,
-    /// The version that the weights must have, where it matters.
+    /// The version that the weights must have, if only one will do.
     pub weights_version: Option<u64>,
-    /// The rank of the request's route; 0 goes first.
+    /// The request's rank in the endpoint's queue; 0 is served first.
     pub priority: u8,
-    /// The workspace that the request belongs to.
+    /// The workspace of the request.
     pub workspace: Option<Arc<str>>,
 }
 
-/// The rate limit for all gateways together that an endpoint advertises in an answer.
+/// The rate limit, for all gateways together, that an endpoint advertises in a response.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub enum RateLimit {
     /// No limit.
@@ -70,7 +71,7 @@
     Unreadable,
 }
 
-/// The backoff that an endpoint asks this gateway, but not the others, for in a refusal.
+/// The backoff that an endpoint asks of this gateway only, in a refusal.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Backoff {
     /// No backoff.
@@ -82,40 +83,40 @@
     Unreadable,
 }
 
-/// What an answer's head says.
+/// The metadata in the head of an endpoint's response.
 #[derive(Debug, Clone, Default)]
 pub struct AnswerMeta {
-    /// True when the endpoint says that it did not start the request and will not.
+    /// True if the endpoint states that it did not run the request and will not.
     pub not_run: bool,
-    /// True when another incarnation answered, or one that lacks the weights.
+    /// True if another incarnation answered, or an endpoint that lacks the weights.
     pub misdirected: bool,
-    /// The id of the request that is answered.
+    /// The id of the request that was answered.
     pub request_id: Option<Arc<str>>,
     /// The endpoint's rate limit.
     pub rate_limit: RateLimit,
     /// The backoff that the endpoint asks for.
     pub backoff: Backoff,
-    /// True when the endpoint announces that it is about to shut down.
+    /// True if the endpoint announces that it is about to shut down.
     pub leaving: bool,
 }
 
-/// Reads and writes what a platform puts into headers.
+/// Reads and writes the HTTP headers of a platform.
 pub trait PlatformHeaders: Send + Sync + 'static {
-    /// Reads a client's request.
+    /// Reads the metadata of a client's request.
     ///
     /// # Errors
-    /// What the client has to correct.
+    /// / What the client has to correct.
     fn read_request(&self, headers: &HeaderMap) -> std::result::Result<RequestMeta, String>;
 
-    /// Removes what a client must not tell endpoints: what the gateway alone may say.
+    /// Removes the headers that only the gateway may send to endpoints.
     fn remove_reserved(&self, headers: &mut HeaderMap);
 
-    /// Writes what the relay adds.
+    /// Writes the metadata that the relay adds.
     fn write_request(&self, headers: &mut HeaderMap, send: &SendMeta);
 
-    /// Reads the head of an endpoint's answer.
+    /// Reads the metadata in the head of an endpoint's response.
     fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerMeta;
 
-    /// True when `path` asks whether this gateway takes requests.
+    /// True if `path` is the platform's readiness check.
     fn is_ready_path(&self, path: &str) -> bool;
 }
--- a/src/relay/budget.rs
+++ b/src/relay/budget.rs
@@ -1,33 +1,34 @@
-//! Sends beyond the first of each request, bounded for all gateways together, whatever becomes of
-//! their processes.
+//! A retry budget that bounds the retries of all gateways together, even when gateway processes
+//! restart.
 //!
-//! Nobody counts the retries of all gateways, and what a process has used is forgotten when it ends,
-//! while the window in which it counts goes on. So nothing is granted in advance: each process
-//! saves tokens up from the requests that it reads and starts with none.
+//! Nobody counts the retries of all gateways, and a process loses its own count when it ends, while
+//! the window in which the retries count continues. So no allowance is granted in advance: each
+//! process starts with no tokens and earns them from the requests that it reads.
 //!
-//! In any window retries come out of two sources. What processes had saved when it began is at most
-//! the cap of each: together [`SLACK_SHARE`] of the slack, as `gateway_count` shares it out, and
-//! [`SAVED_SHARE`] of the ratio times the requests of the window before. All else was earned within it:
-//! [`EARNED_SHARE`] of the ratio times its requests. A process that starts brings nothing and one that
-//! ends only takes away, so the sum holds for any number of lives. Both shares of the ratio make 0.95: a
-//! twentieth of the ratio and a fifth of the slack are left for requests that are read later than
+//! The retries in any window come from two sources. The first is the tokens that processes had
+//! saved when the window began, at most the cap of each. Together the caps are [`SLACK_SHARE`] of
+//! the slack, divided as in `gateway_count`, plus [`SAVED_SHARE`] of the ratio times the requests
+//! of the previous window. The second is the tokens earned within the window: [`EARNED_SHARE`] of
+//! the ratio times its requests. A starting process adds no tokens and an ending one only removes
+//! some, so the bound holds for any number of restarts. Both shares of the ratio sum to 0.95. The
+//! remaining twentieth of the ratio and fifth of the slack cover requests that are read later than
 //! they were sent.
 
 use std::collections::VecDeque;
 
-/// The share of the ratio that each request earns: less costs requests while endpoints refuse
-/// for long, and more leaves too little to save up.
+/// The share of the ratio that each request earns. A smaller share fails more requests while
+/// endpoints refuse for long; a larger one leaves too little to save up.
 const EARNED_SHARE: f64 = 0.75;
-/// The share of the ratio that may be saved up, for the requests of a window. Not above
-/// [`EARNED_SHARE`], since the cap is looked at only when a retry is asked for.
+/// The share of the ratio, per request of a window, that may be saved up. At most [`EARNED_SHARE`],
+/// since the cap is applied only when a retry is requested.
 const SAVED_SHARE: f64 = 0.2;
-/// The share of the common slack that all gateways together use.
+/// The share of the common slack that all gateways together may use.
 const SLACK_SHARE: f64 = 0.8;
 
-/// The retries of one gateway towards one service.
+/// One gateway's retry budget for one service: a token bucket that requests fill.
 ///
-/// Requests earn them and the cap bounds what is saved up. The common slack only widens the cap, and is
-/// divided by the number of gateways.
+/// The cap bounds the saved tokens. The slack, which is divided by the number of gateways, only
+/// raises the cap.
 #[derive(Debug)]
 pub struct RetryBudget {
     ratio: f64,
@@ -40,7 +41,7 @@
 }
 
 impl RetryBudget {
-    /// Allows `ratio` retries a request and `slack` more over any `window_ms`, over all gateways.
+    /// Allows `ratio` retries per request plus `slack` in any `window_ms`, over all gateways.
     pub fn new(ratio: f64, slack: f64, window_ms: u64) -> Self {
         Self {
             ratio,
@@ -53,14 +54,14 @@
         }
     }
 
-    /// Counts a request.
+    /// Counts a request and earns its share of a retry.
     pub fn note_request(&mut self, now_ms: u64) {
         self.tokens += self.ratio * EARNED_SHARE;
         self.requests.push_back(now_ms);
         self.forget_old(now_ms);
     }
 
-    /// Takes one retry; false when none is allowed while `gateways` share the slack.
+    /// Takes one retry token; returns false if none is left while `gateways` share the slack.
     pub fn take(&mut self, now_ms: u64, gateways: u32) -> bool {
         self.forget_old(now_ms);
         let slack = self.slack * SLACK_SHARE / f64::from(gateways.max(1));
@@ -74,7 +75,7 @@
         true
     }
 
-    /// What was counted in the window and what is left, as of the last call.
+    /// The counts of the window and the tokens left, as of the last call.
     pub fn in_window(&self) -> WindowUse {
         WindowUse {
             requests: self.requests.len(),
@@ -91,16 +92,16 @@
     }
 }
 
-/// What one gateway did in the window that ends now, and what it may still do.
+/// One gateway's counts for the current window, and its remaining tokens.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WindowUse {
-    /// Requests that it read.
+    /// Requests that were read.
     pub requests: usize,
-    /// Sends beyond the first of each.
+    /// Retries: sends after the first one of a request.
     pub retries: usize,
-    /// Retries that are left.
+    /// Retry tokens left.
     pub tokens: f64,
-    /// The most that could be saved up when one was last asked for.
+    /// The maximum number of tokens when a retry was last requested.
     pub cap: f64,
 }
 
--- a/src/relay/choice.rs
+++ b/src/relay/choice.rs
@@ -1,21 +1,22 @@
-//! Choosing among the endpoints that could take a request.
+//! Selects one of the endpoints that could take a request, by cost.
 
-use super::known::{Known, Wanted};
+use super::known::{EndpointState, Wanted};
 use super::waiting::ReadingPace;
 use crate::hash;
 
-/// The share of a prompt's common parts that the endpoint which all gateways prefer for them is
-/// expected to keep, beyond what this gateway knows.
-const COMMON_SHARE: f64 = 0.3;
-/// By how much an endpoint must be cheaper than another one to be taken 2.7 times as often.
-const SPREAD_MS: f64 = 50.0;
+/// The share of a prompt's shared parts that the endpoint which all gateways prefer for them is
+/// assumed to have cached, beyond what this gateway has sent there.
+const CACHED_SHARE: f64 = 0.3;
+/// The cost difference at which an endpoint is selected e (about 2.7) times as often as another
+/// one.
+const COST_SCALE_MS: f64 = 50.0;
 
 /// An endpoint that could take a request.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Candidate<'a> {
     pub(super) cost_ms: f64,
     pub(super) rank: Option<u8>,
-    pub(super) known: &'a Known,
+    pub(super) known: &'a EndpointState,
 }
 
 /// The cheapest of `candidates`.
@@ -23,9 +24,9 @@
     candidates.iter().copied().min_by(|one, other| one.cost_ms.total_cmp(&other.cost_ms))
 }
 
-/// Makes the endpoint cheaper that all gateways agree on for the prompt's shared parts: another one of
-/// them may have had these read there, which this gateway does not know.
-pub(super) fn prefer_common(
+/// Lowers the cost of the endpoint that all gateways prefer for the prompt's shared parts, chosen
+/// by hash: another gateway may have sent these parts there without this gateway knowing.
+pub(super) fn discount_preferred(
     candidates: &mut [Candidate<'_>],
     wanted: Option<&Wanted>,
     pace: ReadingPace,
@@ -35,17 +36,17 @@
     };
     let fit = |candidate: &&mut Candidate<'_>| hash::affinity(candidate.known.hash, shared_hash);
     if let Some(best) = candidates.iter_mut().max_by_key(fit) {
-        best.cost_ms -= pace.reading_ms(tokens) * COMMON_SHARE;
+        best.cost_ms -= pace.reading_ms(tokens) * CACHED_SHARE;
     }
 }
 
-/// One of `candidates`, cheap ones more often than dear ones; `draw` is random, from 0 to 1.
+/// Selects one of `candidates` at random, weighted towards low cost; `draw` is random, from 0 to 1.
 ///
-/// Many gateways see the same counts late. If each took the cheapest, all would go to the same
-/// endpoint until the next counts arrive, and to the next one after that.
-pub(super) fn draw_cheap<'a>(candidates: &[Candidate<'a>], draw: f64) -> Option<Candidate<'a>> {
+/// Many gateways see the same outdated load counts. If each selected the cheapest endpoint, all of
+/// them would send to that one until the next counts arrive, and then to the next cheapest.
+pub(super) fn draw_weighted<'a>(candidates: &[Candidate<'a>], draw: f64) -> Option<Candidate<'a>> {
     let least_ms = cheapest(candidates)?.cost_ms;
-    let share = |candidate: &Candidate<'_>| ((least_ms - candidate.cost_ms) / SPREAD_MS).exp();
+    let share = |candidate: &Candidate<'_>| ((least_ms - candidate.cost_ms) / COST_SCALE_MS).exp();
     let mut left = draw * candidates.iter().map(share).sum::<f64>();
     for candidate in candidates {
         left -= share(candidate);
--- a/src/relay/events.rs
+++ b/src/relay/events.rs
@@ -1,58 +1,60 @@
-//! Cutting a stream into whole events.
+//! Splits a stream of server-sent events into whole events.
 
 use bytes::{Bytes, BytesMut};
 
-/// An event larger than this is passed on in parts; a stream cannot be taken up within it.
+/// The largest event that is buffered. A larger one is forwarded in parts, and the stream cannot be
+/// resumed inside it.
 const EVENT_MAX_BYTES: usize = 1 << 20;
 
-/// Holds back an event that has not arrived whole, and knows the number of the last one given out.
+/// Buffers an event until it is complete, and tracks the id of the last event returned.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     partial: BytesMut,
     last_event: Option<u64>,
-    /// True while the client has a part of an event.
+    /// True while the client has received only part of an event.
     is_within_event: bool,
 }
 
 impl EventSplitter {
-    /// Nothing arrived yet; the client has events up to `last_event`.
+    /// Creates an empty splitter for a client that has received the events up to `last_event`.
     pub fn new(last_event: Option<u64>) -> Self {
         Self { partial: BytesMut::new(), last_event, is_within_event: false }
     }
 
-    /// True when the client has whole events only, so that another endpoint may go on after the last:
-    /// the rest of a part would be lost, and its number hides that.
-    pub fn can_be_taken_up(&self) -> bool {
+    /// True if the client has received whole events only, so that another endpoint can continue
+    /// after the last one. Inside an event a resumed stream would lose the rest of that event,
+    /// because its id already counts as received.
+    pub fn is_at_event_boundary(&self) -> bool {
         !self.is_within_event
     }
 
-    /// The number of the last event given out.
+    /// The id of the last event returned.
     pub fn last_event(&self) -> Option<u64> {
         self.last_event
     }
 
-    /// Takes bytes in and gives out the events that are now whole.
+    /// Adds received bytes and returns the events that are now complete.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
         let searched = self.partial.len();
         self.partial.extend_from_slice(bytes);
-        let end_of_whole = end_of_events(&self.partial, searched);
+        let end_of_whole = find_event_end(&self.partial, searched);
         let end = end_of_whole
             .or_else(|| (self.partial.len() > EVENT_MAX_BYTES).then_some(self.partial.len()))?;
         self.is_within_event = end_of_whole.is_none();
         let whole = self.partial.split_to(end).freeze();
-        if let Some(number) = last_number(&whole) {
+        if let Some(number) = last_event_id(&whole) {
             self.last_event = Some(number);
         }
         Some(whole)
     }
 
-    /// Drops what came of an event that will not be finished.
+    /// Drops the buffered part of an event that will not be completed.
     pub fn drop_partial(&mut self) {
         self.partial.clear();
     }
 
-    /// What is left at the end of a whole answer.
-    pub fn take_rest(&mut self) -> Option<Bytes> {
+    /// Returns the remaining bytes at the end of a complete response.
+    pub fn take_remainder(&mut self) -> Option<Bytes> {
         if self.partial.is_empty() {
             return None;
         }
@@ -60,8 +62,9 @@
     }
 }
 
-/// Where the last whole event ends: after an empty line. None ends within the first `searched` bytes.
-fn end_of_events(bytes: &[u8], searched: usize) -> Option<usize> {
+/// The end of the last whole event, which is after an empty line; no event ends within the first
+/// `searched` bytes.
+fn find_event_end(bytes: &[u8], searched: usize) -> Option<usize> {
     let mut position = bytes.len();
     while position > searched {
         position -= 1;
@@ -76,8 +79,8 @@
     None
 }
 
-/// The last number in `events`; lines that hold none, and bytes that are no text, hide no other.
-fn last_number(events: &[u8]) -> Option<u64> {
+/// The last numeric event id in `events`. Ids that are not numbers or not UTF-8 are skipped.
+fn last_event_id(events: &[u8]) -> Option<u64> {
     for line in events.rsplit(|byte| *byte == b'\n') {
         let Some(number) = line.strip_prefix(b"id:") else { continue };
         let Ok(number) = std::str::from_utf8(number) else { continue };
--- a/src/relay/exchange.rs
+++ b/src/relay/exchange.rs
@@ -1,4 +1,4 @@
-//! One request's way: route, endpoint, answer.
+//! Handles one client request from admission to the end of its response.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -13,7 +13,7 @@
 
 use super::access::Access;
 use super::admission::{Admitted, admit};
-use super::attempt::{Attempt, Started, Target};
+use super::attempt::{Attempt, StartedResponse, Target};
 use super::border::{AnswerMeta, RequestMeta, SendMeta};
 use super::prompt::PromptChain;
 use super::quota::UsedCredit;
@@ -28,22 +28,23 @@
 use crate::routing::{Chosen, Repeat};
 use crate::wire::BoxFuture;
 
-/// The largest answer that is read whole before it is passed on.
-const WHOLE_ANSWER_MAX_BYTES: usize = 256 << 10;
-/// What is left of the deadline for the answer's way back.
-const RETURN_MS: u64 = 5;
-/// Why an answer ends whose endpoint closed no connection and was found to have ended.
-pub(super) const ENDED: &str = "the endpoint has ended";
-/// Sends that endpoints refused, beyond the attempts that the route allows.
+/// The largest response that is buffered before it is forwarded.
+const BUFFERED_RESPONSE_MAX_BYTES: usize = 256 << 10;
+/// The part of the deadline that is reserved for returning the response.
+const RESPONSE_MARGIN_MS: u64 = 5;
+/// The error of a response whose endpoint was found to have ended without closing the connection.
+pub(super) const ENDPOINT_ENDED: &str = "the endpoint has ended";
+/// The maximum number of refused sends per request, in addition to the attempts that the route
+/// allows.
 const REFUSED_SENDS_MAX: u32 = 3;
 
-/// Takes clients' requests in.
+/// Handles client requests.
 pub struct RelayHandler {
     relay: Arc<Relay>,
 }
 
 impl RelayHandler {
-    /// A handler for clients of `relay`.
+    /// Creates a handler for the clients of `relay`.
     pub fn new(relay: Arc<Relay>) -> Self {
         Self { relay }
     }
@@ -65,7 +66,7 @@
     }
 }
 
-/// Counts a request until its answer is whole.
+/// Counts a request as in progress until its response is complete.
 pub(super) struct InProgress(Arc<Relay>);
 
 impl Drop for InProgress {
@@ -74,7 +75,7 @@
     }
 }
 
-/// One request on its way.
+/// A client request that is being handled.
 pub(super) struct Exchange {
     pub(super) relay: Arc<Relay>,
     pub(super) meta: RequestMeta,
@@ -89,37 +90,37 @@
     pub(super) body: Bytes,
     pub(super) prompt: PromptChain,
     pub(super) tried: Vec<Arc<str>>,
-    /// When it was sent last; 0 before that.
+    /// The time of the last send; 0 before the first one.
     pub(super) sent_at_ms: u64,
-    /// When the endpoint that has it began to answer; none before that.
-    pub(super) begun_at_ms: Option<u64>,
-    /// When something of that answer came last.
-    pub(super) heard_at_ms: u64,
-    /// What it was expected to wait there, and its rank in the queue.
+    /// When the current endpoint started its response; `None` before that.
+    pub(super) response_started_at_ms: Option<u64>,
+    /// When data of that response last arrived.
+    pub(super) last_data_at_ms: u64,
+    /// The expected wait at the selected endpoint, and the request's rank in its queue.
     pub(super) expected_ms: u64,
     pub(super) rank: u8,
-    /// What it had to wait for here before that; empty when it did not wait.
+    /// What the request waited for before it was sent; empty if it did not wait.
     pub(super) waited_for: &'static str,
-    /// True once an endpoint's answer has begun; one that is passed on whole may still fail.
+    /// True once an endpoint has started a response; one that is buffered may still fail.
     pub(super) has_answered: bool,
     /// The version that the endpoint's weights are known to have.
     pub(super) held_version: Option<u64>,
     key: OnceLock<RequestKey>,
-    /// Whether it may be sent again within the same try.
+    /// Whether the request may be resent within the same attempt of the client.
     permission: Permission,
-    /// The leader's permission to send this try although it was held.
+    /// The leader's permission to send this attempt although the request was held.
     pub(super) trial: Option<Trial>,
-    /// Sends that an endpoint may have started.
-    given: u32,
-    /// Sends that endpoints refused without asking for backoff.
+    /// The number of sends that an endpoint may have run.
+    possible_runs: u32,
+    /// The number of sends that endpoints refused without asking for backoff.
     refused: u32,
-    /// Sends that endpoints refused with a request for backoff.
+    /// The number of sends that endpoints refused with a request for backoff.
     refused_with_backoff: u32,
 }
 
 async fn serve(relay: &Arc<Relay>, request: Request<Incoming>) -> Answer {
     let started_ms = relay.now_ms();
-    if relay.border.is_ready_path(request.uri().path()) {
+    if relay.platform_headers.is_ready_path(request.uri().path()) {
         let status = ready_status(relay);
         return answer(status, "text/plain", Bytes::new());
     }
@@ -133,13 +134,13 @@
     }
 }
 
-/// Whether new connections should come here.
+/// The readiness status that load balancers see.
 pub(super) fn ready_status(relay: &Relay) -> StatusCode {
     if relay.is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }
 }
 
 impl Exchange {
-    /// A request that was read whole.
+    /// Starts handling an admitted request.
     pub(super) fn new(relay: &Arc<Relay>, started_ms: u64, admitted: Admitted) -> Self {
         let Admitted { meta, chosen, access, used_credit, method, target, headers, body } =
             admitted;
@@ -165,17 +166,17 @@
             prompt,
             tried: Vec::new(),
             sent_at_ms: 0,
-            begun_at_ms: None,
-            heard_at_ms: 0,
+            response_started_at_ms: None,
+            last_data_at_ms: 0,
             expected_ms: 0,
             rank: 0,
             waited_for: "",
             has_answered: false,
             held_version: None,
             key: OnceLock::new(),
-            permission: Permission::Free,
+            permission: Permission::Unrestricted,
             trial: None,
-            given: 0,
+            possible_runs: 0,
             refused: 0,
             refused_with_backoff: 0,
         }
@@ -194,15 +195,16 @@
         if self.chosen.route.streams && status.is_success() {
             return stream::answer(self, started);
         }
-        self.pass_whole(started).await
+        self.forward_buffered(started).await
     }
 
-    /// What it is, whichever try this is; reckoned when it is first asked for, which few requests need.
+    /// The key of the request's content, equal for all attempts of a client. Computed on first use,
+    /// since few requests need it.
     pub(super) fn key(&self) -> RequestKey {
-        *self.key.get_or_init(|| self.reckon_key())
+        *self.key.get_or_init(|| self.compute_key())
     }
 
-    fn reckon_key(&self) -> RequestKey {
+    fn compute_key(&self) -> RequestKey {
         RequestKey::new(RequestContent {
             method: self.method.as_str(),
             host: header(&self.headers, HOST.as_str()).unwrap_or_default(),
@@ -212,32 +214,40 @@
         })
     }
 
-    pub(super) fn read_head(&self, started: &Started) -> AnswerMeta {
+    pub(super) fn read_head(&self, started: &StartedResponse) -> AnswerMeta {
         let response = &started.response;
-        self.relay.border.read_answer(response.status(), response.headers())
+        self.relay.platform_headers.read_answer(response.status(), response.headers())
     }
 
-    /// Sends the request, again where it may be, until an endpoint starts to answer.
-    pub(super) async fn start(&mut self, last_event: Option<u64>) -> Result<Started, Failure> {
+    /// Sends the request, resending it where that is allowed, until an endpoint starts a response.
+    pub(super) async fn start(
+        &mut self,
+        last_event: Option<u64>,
+    ) -> Result<StartedResponse, Failure> {
         loop {
-            self.permission = self.may_be_sent().await.map_err(Failure::NotSent)?;
-            // The standing may have changed since the last send.
-            if self.given > 0 && self.permission == Permission::Once && !self.may_give_again() {
+            self.permission = self.obtain_permission().await.map_err(Failure::NotSent)?;
+            // The leader may have changed the request's standing since the last send.
+            if self.possible_runs > 0
+                && self.permission == Permission::Once
+                && !self.can_send_again()
+            {
                 return Err(Failure::Unknown("it is sent to one endpoint only".to_owned()));
             }
             let picked = self.pick().await.map_err(Failure::NotSent)?;
             self.check_not_held().map_err(Failure::NotSent)?;
-            self.access.is_held_still(&self.relay, &self.chosen.route).map_err(Failure::NotSent)?;
+            self.access
+                .check_still_valid(&self.relay, &self.chosen.route)
+                .map_err(Failure::NotSent)?;
             self.waited_for = picked.waited_for;
             self.held_version = picked.held_version;
             self.expected_ms = picked.expected_ms;
             self.rank = picked.rank.unwrap_or(self.priority());
             let Target { id, name, address, weights_version, .. } = picked;
-            let is_first = self.given + self.refused + self.refused_with_backoff == 0;
+            let is_first = self.possible_runs + self.refused + self.refused_with_backoff == 0;
             let now_ms = self.relay.now_ms();
             self.sent_at_ms = now_ms;
-            self.begun_at_ms = None;
-            if !is_first && !self.relay.may_retry(now_ms, &self.meta.id, &self.chosen.service.name)
+            self.response_started_at_ms = None;
+            if !is_first && !self.relay.take_retry(now_ms, &self.meta.id, &self.chosen.service.name)
             {
                 return Err(Failure::NotSent(NotSent::NoBudget));
             }
@@ -252,20 +262,22 @@
             };
             match self.attempt(&send, address).await {
                 Attempt::Started(started) => {
-                    self.given += 1;
-                    self.heard_at_ms = self.relay.now_ms();
-                    self.begun_at_ms = Some(self.heard_at_ms);
+                    self.possible_runs += 1;
+                    self.last_data_at_ms = self.relay.now_ms();
+                    self.response_started_at_ms = Some(self.last_data_at_ms);
                     let head = self.read_head(&started);
-                    let retries_failure = started.response.status().is_server_error()
+                    let is_retriable_failure = started.response.status().is_server_error()
                         && self.chosen.route.repeat == Repeat::Any
-                        && self.may_give_again();
+                        && self.can_send_again();
                     self.tried.push(id);
                     if head.request_id.as_ref().is_some_and(|answered| *answered != self.meta.id) {
                         warn!(event = "foreign_answer", request = %self.meta.id, endpoint = %send.endpoint);
-                        self.after_unknown("the answer belongs to another request".to_owned())?;
+                        self.handle_unknown_outcome(
+                            "the answer belongs to another request".to_owned(),
+                        )?;
                         continue;
                     }
-                    if retries_failure {
+                    if is_retriable_failure {
                         info!(
                             event = "sent_again",
                             request = %self.meta.id,
@@ -293,74 +305,77 @@
                     self.tried.push(id);
                 }
                 Attempt::TakenBack => {
-                    self.given += 1;
+                    self.possible_runs += 1;
                     self.note_taken_back(&id);
                     self.tried.push(id);
-                    self.after_unknown("its weights were replaced while it waited".to_owned())?;
+                    self.handle_unknown_outcome(
+                        "its weights were replaced while it waited".to_owned(),
+                    )?;
                 }
                 Attempt::Overdue => {
                     self.note_failed(id, address);
-                    self.after_unknown("no answer before the deadline".to_owned())?;
+                    self.handle_unknown_outcome("no answer before the deadline".to_owned())?;
                 }
                 Attempt::Ended(end) => {
                     self.note_ended(&id, end);
                     self.note_failed(id, address);
-                    self.after_unknown(ENDED.to_owned())?;
+                    self.handle_unknown_outcome(ENDPOINT_ENDED.to_owned())?;
                     self.wait_for_verdict().await;
                 }
                 Attempt::Unknown(detail) => {
                     self.note_broken_off(&id);
                     self.note_failed(id, address);
-                    self.after_unknown(detail)?;
+                    self.handle_unknown_outcome(detail)?;
                 }
             }
         }
     }
 
     fn note_failed(&mut self, endpoint: Arc<str>, address: SocketAddr) {
-        self.given += 1;
+        self.possible_runs += 1;
         self.relay.fleet().failed(self.relay.now_ms(), &endpoint);
         self.relay.pool.forget(address);
         self.tried.push(endpoint);
     }
 
-    fn after_unknown(&self, detail: String) -> Result<(), Failure> {
+    fn handle_unknown_outcome(&self, detail: String) -> Result<(), Failure> {
         info!(event = "send_failed", request = %self.meta.id, tried = self.tried.len(), detail = %detail);
-        if self.chosen.route.repeat == Repeat::Once || !self.may_give_again() {
+        if self.chosen.route.repeat == Repeat::Once || !self.can_send_again() {
             return Err(Failure::Unknown(detail));
         }
         Ok(())
     }
 
-    /// The rank of its workspace, or else of its route.
+    /// The priority of the workspace, or else of the route.
     pub(super) fn priority(&self) -> u8 {
         self.access.priority().unwrap_or(self.chosen.route.priority)
     }
 
-    pub(super) fn may_give_again(&self) -> bool {
+    pub(super) fn can_send_again(&self) -> bool {
         let attempts = match self.permission {
             Permission::Once => 1,
             _ => self.chosen.route.attempts.max(1),
         };
-        self.given < attempts && self.relay.now_ms() + RETURN_MS < self.ends_at_ms
+        self.possible_runs < attempts && self.relay.now_ms() + RESPONSE_MARGIN_MS < self.ends_at_ms
     }
 
     pub(super) fn left_ms(&self, now_ms: u64) -> u64 {
         self.ends_at_ms.saturating_sub(now_ms).max(1)
     }
 
-    /// Reads the answer whole, so that one which breaks off can still be asked for elsewhere.
-    async fn pass_whole(mut self, started: Started) -> Answer {
+    /// Buffers the whole response, so that the request can still be resent if the response breaks
+    /// off.
+    async fn forward_buffered(mut self, started: StartedResponse) -> Answer {
         let mut started = started;
         loop {
-            let Started { flight, connection, response } = started;
+            let StartedResponse { flight, connection, response } = started;
             let (head, body) = response.into_parts();
-            let collected = Limited::new(body, WHOLE_ANSWER_MAX_BYTES).collect();
+            let collected = Limited::new(body, BUFFERED_RESPONSE_MAX_BYTES).collect();
             let collected = self.relay.clock.timeout_at(self.ends_at_ms, collected);
             let collected = tokio::select! {
                 collected = collected => collected.map(|body| body.map_err(|error| error.to_string())),
-                () = flight.ended() => Some(Err(ENDED.to_owned())),
-                never = flight.ask_while_silent() => match never {},
+                () = flight.wait_for_end() => Some(Err(ENDPOINT_ENDED.to_owned())),
+                never = flight.probe_while_silent() => match never {},
             };
             let detail = match collected {
                 Some(Ok(body)) => {
@@ -382,12 +397,12 @@
                 }
                 None => "the answer did not end before the deadline".to_owned(),
             };
-            let closed_nothing = flight.end().is_some();
+            let ended_silently = flight.end().is_some();
             drop(flight);
-            if let Err(failure) = self.after_unknown(detail) {
+            if let Err(failure) = self.handle_unknown_outcome(detail) {
                 return self.give_up(failure);
             }
-            if closed_nothing {
+            if ended_silently {
                 self.wait_for_verdict().await;
             }
             started = match self.start(None).await {
@@ -400,7 +415,7 @@
     fn give_up(&self, failure: Failure) -> Answer {
         let after_ms = self.relay.now_ms() - self.started_ms;
         let request = &self.meta.id;
-        let may_have_run = self.given > 0;
+        let may_have_run = self.possible_runs > 0;
         match failure {
             Failure::NotSent(reason) if !may_have_run => {
                 self.relay.metrics.count(Counter::RequestsRefused);
@@ -435,7 +450,7 @@
                 self.relay.metrics.count(Counter::RequestsUnknown);
                 let route = &self.chosen.route.name;
                 info!(event = "failed", request = %request, route = %route, reason = %detail, answered = self.has_answered, after_ms);
-                if self.relay.now_ms() + RETURN_MS >= self.ends_at_ms {
+                if self.relay.now_ms() + RESPONSE_MARGIN_MS >= self.ends_at_ms {
                     return own_answer(StatusCode::GATEWAY_TIMEOUT, "no answer in time");
                 }
                 own_answer(StatusCode::BAD_GATEWAY, "the endpoint failed")
@@ -444,7 +459,7 @@
     }
 }
 
-/// Takes out what concerns one connection only.
+/// Removes the headers that apply to a single connection.
 pub(super) fn remove_connection_headers(headers: &mut HeaderMap) {
     let mut named = Vec::new();
     for value in headers.get_all(CONNECTION) {
--- a/src/relay/fleet.rs
+++ b/src/relay/fleet.rs
@@ -1,4 +1,5 @@
-//! What a relay knows of endpoints, and which one gets a request.
+//! Tracks what a gateway knows of the endpoints: load, failures and the weights that each one
+//! holds.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -10,42 +11,45 @@
 use tracing::info;
 
 use super::border::RateLimit;
-use super::known::{IncarnationEnd, Known, Wanted};
+use super::known::{EndpointState, IncarnationEnd, Wanted};
 use super::limits::{EndpointLimits, LimitChange};
 use super::replaced::begin_within_ms;
-use super::uses::Uses;
+use super::uses::WeightsUses;
 use super::waiting::{Prompt, ReadingPace, UnreadMs};
 use crate::message::{
     EndpointLoad, Holding, Load, Placed, RegisteredEndpoint, WeightsName, WeightsUse,
 };
 use crate::policy::versions::{SENT_PERCENT, Versions};
 
-/// The first pause after an endpoint failed; doubled with each further failure in a row.
-const DOWN_MS: u64 = 400;
-/// The longest pause: an endpoint that came back under the same incarnation is missed this long.
-const DOWN_MAX_MS: u64 = 5_000;
-/// Failures in a row after which an endpoint that can be reached is left alone for a while.
-const FAILURES_TO_DOWN: u32 = 3;
-/// An endpoint that said it is full gets nothing for this long.
-const FULL_MS: u64 = 60;
-/// How long an endpoint counts as leaving after an answer announced it, so that one that announced
-/// it by mistake is used again.
+/// The first pause after an endpoint failed; doubled with each further consecutive failure.
+const FIRST_PAUSE_MS: u64 = 400;
+/// The longest pause. An endpoint that recovers under the same incarnation stays unused for up to
+/// this long.
+const PAUSE_MAX_MS: u64 = 5_000;
+/// Consecutive failures after which an endpoint that can be reached is paused.
+const FAILURES_TO_PAUSE: u32 = 3;
+/// How long an endpoint that reported itself full gets no requests.
+const FULL_PAUSE_MS: u64 = 60;
+/// How long an endpoint counts as leaving after a response announced it. The limit brings back an
+/// endpoint that announced it by mistake.
 const LEAVING_EXPIRY_MS: u64 = 600_000;
-/// How long after a version was replaced requests may begin on it, unless settings say otherwise.
+/// How long after a weights version was replaced requests may start on it, unless the settings
+/// differ.
 const VERSION_WITHIN_MS: u64 = 5_000;
 
-/// Registered endpoints with what this gateway knows of their load and weights.
+/// The registered endpoints with their load and weights as this gateway knows them.
 #[derive(Debug)]
 pub struct Fleet {
     pub(super) zone: Arc<str>,
-    pub(super) endpoints: HashMap<Arc<str>, Known>,
+    pub(super) endpoints: HashMap<Arc<str>, EndpointState>,
     pub(super) by_service: HashMap<Arc<str>, Vec<Arc<str>>>,
     pub(super) homes: HashMap<WeightsName, BTreeMap<Arc<str>, Holding>>,
     pub(super) versions: Versions,
-    /// For how long a request that was sent to a version may still begin on it once that is due.
+    /// How long a request that was sent to a version may take to start there once a newer version
+    /// is due.
     pub(super) begin_within_ms: u64,
     loads_changed: HashSet<Arc<str>>,
-    uses: Uses,
+    uses: WeightsUses,
     pub(super) failing: HashSet<Arc<str>>,
     pub(super) random: SmallRng,
     pub(super) gateways: usize,
@@ -54,23 +58,24 @@
     pub(super) limits: EndpointLimits,
     /// When each throttled or leaving endpoint was last reported as failing.
     pub(super) failing_reported_at_ms: HashMap<Arc<str>, u64>,
-    /// Endpoints that announced in an answer that they are leaving.
+    /// Endpoints that announced in a response that they are leaving.
     leaving: HashSet<Arc<str>>,
 }
 
-/// What goes through a gateway, as it tells the leader.
+/// A gateway's periodic traffic report to the leader.
 #[derive(Debug, Clone, Default)]
 pub struct Traffic {
-    /// What is under way, where it changed.
+    /// Endpoints whose load changed.
     pub loads: Vec<EndpointLoad>,
     /// Weights that were used.
     pub used: Vec<WeightsUse>,
-    /// Endpoints that could not be reached, or failed again and again.
+    /// Endpoints that could not be reached, failed repeatedly, or are throttled or leaving.
     pub failing: Vec<Arc<str>>,
 }
 
 impl Fleet {
-    /// No endpoints yet, for a gateway in `zone`; `seed` decides which endpoints are compared.
+    /// Creates a fleet without endpoints for a gateway in `zone`; `seed` decides which endpoints
+    /// are compared.
     pub fn new(zone: Arc<str>, seed: u64) -> Self {
         Self {
             zone,
@@ -80,7 +85,7 @@
             versions: Versions::new(VERSION_WITHIN_MS * SENT_PERCENT / 100),
             begin_within_ms: begin_within_ms(VERSION_WITHIN_MS),
             loads_changed: HashSet::new(),
-            uses: Uses::default(),
+            uses: WeightsUses::default(),
             failing: HashSet::new(),
             random: SmallRng::seed_from_u64(seed),
             gateways: 1,
@@ -92,18 +97,18 @@
         }
     }
 
-    /// Notes how many gateways there are.
+    /// Sets the number of gateways.
     pub fn set_gateways(&mut self, now_ms: u64, gateways: u32) {
         self.gateways = gateways as usize;
         self.limits.set_gateways(now_ms, gateways);
     }
 
-    /// Notes that the leader confirmed what this gateway sent at `sent_at_ms`.
-    pub fn confirmed(&mut self, sent_at_ms: u64) {
-        self.limits.confirmed(sent_at_ms);
+    /// Records that the leader confirmed a renewal that this gateway sent at `sent_at_ms`.
+    pub fn note_confirmed(&mut self, sent_at_ms: u64) {
+        self.limits.note_confirmed(sent_at_ms);
     }
 
-    /// Takes a registration over.
+    /// Adds or updates a registered endpoint.
     pub fn register(&mut self, endpoint: RegisteredEndpoint) {
         if let Some(known) = self.endpoints.get_mut(&endpoint.id) {
             known.endpoint = endpoint;
@@ -111,10 +116,10 @@
         }
         let ids = self.by_service.entry(endpoint.service.clone()).or_default();
         ids.push(endpoint.id.clone());
-        self.endpoints.insert(endpoint.id.clone(), Known::new(endpoint));
+        self.endpoints.insert(endpoint.id.clone(), EndpointState::new(endpoint));
     }
 
-    /// Forgets an endpoint that is gone; its address is returned.
+    /// Removes an endpoint; returns its address.
     pub fn deregister(&mut self, id: &str) -> Option<SocketAddr> {
         let known = self.endpoints.remove(id)?;
         self.limits.remove(id);
@@ -129,12 +134,12 @@
         Some(known.endpoint.address)
     }
 
-    /// Forgets the endpoints that `ids` does not name.
+    /// Removes all endpoints except `ids`.
     pub fn keep_only(&mut self, ids: &[Arc<str>]) {
-        let kept: HashSet<&Arc<str>> = ids.iter().collect();
+        let prefix_cache: HashSet<&Arc<str>> = ids.iter().collect();
         let mut gone = Vec::new();
         for id in self.endpoints.keys() {
-            if !kept.contains(id) {
+            if !prefix_cache.contains(id) {
                 gone.push(id.clone());
             }
         }
@@ -143,7 +148,7 @@
         }
     }
 
-    /// Takes over what endpoints hold.
+    /// Applies which weights endpoints hold; `reset` replaces everything known before.
     pub fn place(&mut self, reset: bool, placed: Vec<Placed>) {
         if reset {
             self.homes.clear();
@@ -157,9 +162,10 @@
         }
     }
 
-    /// Notes that an endpoint turned out not to hold `name` in the `version` that was known.
+    /// Records that an endpoint turned out not to hold `name` in the `version` that was known.
     ///
-    /// What was told of another version since, or of one on its way, stays: nobody tells it again.
+    /// A different version, or a load in progress, that was reported since stays recorded, because
+    /// it is not reported again.
     pub fn not_held(&mut self, endpoint: &str, name: &WeightsName, version: Option<u64>) {
         let Some(homes) = self.homes.get_mut(name) else { return };
         if homes.get(endpoint).copied() == version.map(Holding::Ready) {
@@ -167,7 +173,7 @@
         }
     }
 
-    /// Takes over what the other gateways have under way.
+    /// Applies the load of the other gateways.
     pub fn note_loads(&mut self, now_ms: u64, loads: Vec<EndpointLoad>) {
         for load in loads {
             self.limits.set_others(now_ms, &load.endpoint, load.load.demand_per_min);
@@ -180,7 +186,7 @@
         }
     }
 
-    /// Forgets what the other gateways have under way; without a leader nobody tells when it ends.
+    /// Clears the load of the other gateways, which is not updated without a leader.
     pub fn forget_loads(&mut self, now_ms: u64) {
         self.limits.forget_others(now_ms);
         for known in self.endpoints.values_mut() {
@@ -189,7 +195,7 @@
         }
     }
 
-    /// Applies the rate limit in the answer of endpoint `id` to a request sent at `sent_at_ms`.
+    /// Applies the rate limit in the response of endpoint `id` to a request sent at `sent_at_ms`.
     pub fn note_limit(
         &mut self,
         now_ms: u64,
@@ -209,12 +215,12 @@
         change
     }
 
-    /// True when `id` began no answer since `at_ms`.
+    /// True if `id` has started no response since `at_ms`.
     pub fn is_silent_since(&self, at_ms: u64, id: &str) -> bool {
         self.endpoints.get(id).is_none_or(|known| known.waiting.is_silent_since(at_ms))
     }
 
-    /// Counts a request that is sent to `id`, late or not; returns its number.
+    /// Records a request that is sent to `id`; returns the number that identifies it.
     pub fn start(
         &mut self,
         now_ms: u64,
@@ -229,7 +235,9 @@
             let tokens = wanted.map_or(0, |wanted| known.unread_tokens(wanted));
             reading_ms = known.pace(self.pace).reading_ms(tokens);
             if let Some(wanted) = wanted {
-                known.kept.note(&wanted.prompt, wanted.memory_tokens / self.gateways.max(1) as u64);
+                known
+                    .prefix_cache
+                    .note(&wanted.prompt, wanted.memory_tokens / self.gateways.max(1) as u64);
             }
             known.waiting.send(now_ms, self.sends, Prompt { tokens, reading_ms, is_late });
             self.loads_changed.insert(id.clone());
@@ -240,7 +248,7 @@
         self.sends
     }
 
-    /// Counts a request that has ended at `id`, under the number that it was sent with.
+    /// Records that the request sent to `id` under `number` has ended.
     pub fn finish(
         &mut self,
         now_ms: u64,
@@ -258,7 +266,7 @@
         }
     }
 
-    /// Notes that `id` began to answer the request sent under `number`.
+    /// Records that `id` started its response to the request sent under `number`.
     pub fn answered(&mut self, now_ms: u64, id: &Arc<str>, number: u64) {
         let Some(known) = self.endpoints.get_mut(id) else { return };
         known.failures = 0;
@@ -276,10 +284,10 @@
         }
     }
 
-    /// Notes that `id` is full.
+    /// Records that `id` refused a request because it is full.
     pub fn refused(&mut self, now_ms: u64, id: &str) {
         if let Some(known) = self.endpoints.get_mut(id) {
-            known.closed_until_ms = known.closed_until_ms.max(now_ms + FULL_MS);
+            known.closed_until_ms = known.closed_until_ms.max(now_ms + FULL_PAUSE_MS);
         }
     }
 
@@ -288,7 +296,7 @@
         self.endpoints.get_mut(id).is_some_and(|known| known.backoff.start(now_ms, backoff_ms))
     }
 
-    /// Marks `id` as leaving because it announced this in an answer; returns true if it was not
+    /// Marks `id` as leaving because it announced this in a response; returns true if it was not
     /// already leaving.
     pub fn mark_leaving(&mut self, now_ms: u64, id: &Arc<str>) -> bool {
         let Some(known) = self.endpoints.get_mut(id) else { return false };
@@ -298,40 +306,42 @@
         is_new
     }
 
-    /// Notes that `id` could not be reached.
-    pub fn unreachable(&mut self, now_ms: u64, id: &Arc<str>) {
+    /// Records that no connection to `id` could be made.
+    pub fn mark_unreachable(&mut self, now_ms: u64, id: &Arc<str>) {
         if let Some(known) = self.endpoints.get_mut(id) {
-            let pause_ms = (DOWN_MS << known.failures.min(8)).min(DOWN_MAX_MS);
+            let pause_ms = (FIRST_PAUSE_MS << known.failures.min(8)).min(PAUSE_MAX_MS);
             known.failures += 1;
             known.closed_until_ms = now_ms + pause_ms;
             self.failing.insert(id.clone());
         }
     }
 
-    /// Notes that `id` broke off or answered wrongly; once may be chance.
+    /// Records that `id` broke off a response or answered wrongly. A single failure does not pause
+    /// it.
     pub fn failed(&mut self, now_ms: u64, id: &Arc<str>) {
         let Some(known) = self.endpoints.get_mut(id) else { return };
         known.failures += 1;
-        if known.failures < FAILURES_TO_DOWN {
+        if known.failures < FAILURES_TO_PAUSE {
             return;
         }
-        known.closed_until_ms = now_ms + (DOWN_MS << known.failures.min(8)).min(DOWN_MAX_MS);
+        known.closed_until_ms =
+            now_ms + (FIRST_PAUSE_MS << known.failures.min(8)).min(PAUSE_MAX_MS);
         self.failing.insert(id.clone());
     }
 
-    /// Notes that `id` has ended: it comes back as another incarnation, if at all.
-    pub fn ended(&mut self, now_ms: u64, id: &Arc<str>) {
+    /// Records that `id` has ended; it can only come back as another incarnation.
+    pub fn mark_ended(&mut self, now_ms: u64, id: &Arc<str>) {
         let Some(known) = self.endpoints.get_mut(id) else { return };
-        known.failures += FAILURES_TO_DOWN;
-        known.closed_until_ms = now_ms + DOWN_MAX_MS;
+        known.failures += FAILURES_TO_PAUSE;
+        known.closed_until_ms = now_ms + PAUSE_MAX_MS;
         self.failing.insert(id.clone());
     }
 
-    /// Tells when `id` is found to have ended.
+    /// Returns a receiver that is notified when `id` is found to have ended.
     pub(super) fn watch_end(&mut self, id: &str) -> Option<watch::Receiver<IncarnationEnd>> {
         let known = self.endpoints.get_mut(id)?;
         let ended = known.ended.get_or_insert_with(|| watch::Sender::new(IncarnationEnd::None));
-        // Requests are sent to it again: it may have stood still only.
+        // A new request is being sent, so the endpoint may have recovered from a hang.
         ended.send_if_modified(|ended| {
             if *ended != IncarnationEnd::Replaced {
                 *ended = IncarnationEnd::None;
@@ -341,8 +351,8 @@
         Some(ended.subscribe())
     }
 
-    /// Tells those that wait for answers of `id` that it may have ended.
-    pub(super) fn may_have_ended(&self, id: &str, end: IncarnationEnd) {
+    /// Notifies the requests that await responses of `id` that it may have ended.
+    pub(super) fn notify_possible_end(&self, id: &str, end: IncarnationEnd) {
         let Some(ended) = self.endpoints.get(id).and_then(|known| known.ended.as_ref()) else {
             return;
         };
@@ -353,8 +363,8 @@
         });
     }
 
-    /// The known endpoints that have ended, since `registered` have their names or addresses; whoever waits
-    /// for their answers is told.
+    /// Returns the known endpoints that `registered` replaces, by name or address, and notifies the
+    /// requests that await their responses.
     pub fn replaced_by(&mut self, registered: &[&RegisteredEndpoint]) -> Vec<RegisteredEndpoint> {
         let is_new = |endpoint: &&&RegisteredEndpoint| !self.endpoints.contains_key(&endpoint.id);
         let new: Vec<_> = registered.iter().filter(is_new).collect();
@@ -364,7 +374,7 @@
         let names: HashSet<&str> = new.iter().map(|endpoint| &*endpoint.name).collect();
         let addresses: HashSet<SocketAddr> = new.iter().map(|endpoint| endpoint.address).collect();
         let mut replaced = Vec::new();
-        for Known { endpoint, ended, .. } in self.endpoints.values() {
+        for EndpointState { endpoint, ended, .. } in self.endpoints.values() {
             if !names.contains(&*endpoint.name) && !addresses.contains(&endpoint.address) {
                 continue;
             }
@@ -376,12 +386,12 @@
         replaced
     }
 
-    /// An endpoint as it registered.
+    /// The registration of an endpoint.
     pub fn endpoint(&self, id: &str) -> Option<RegisteredEndpoint> {
         self.endpoints.get(id).map(|known| known.endpoint.clone())
     }
 
-    /// What changed since the last call.
+    /// Returns the changes since the last call.
     pub fn take_traffic(&mut self, now_ms: u64) -> Traffic {
         let mut loads = Vec::new();
         self.loads_changed.extend(self.limits.changed_demands(now_ms));
@@ -397,7 +407,7 @@
         Traffic { loads, used, failing }
     }
 
-    /// Reports endpoints that announced in an answer that they are leaving as failing, so that the
+    /// Reports endpoints that announced in a response that they are leaving as failing, so that the
     /// leader places weights elsewhere even if no heartbeat announces it.
     fn report_leaving(&mut self, now_ms: u64) {
         let endpoints = &self.endpoints;
@@ -406,12 +416,12 @@
         self.report_failing(now_ms, leaving);
     }
 
-    /// Tells all uses the next time, to a leader that knows nothing.
-    pub fn forget_uses_told(&mut self) {
-        self.uses.forget_told();
+    /// Makes the next report include all weights in use, for a leader that knows none of them.
+    pub fn request_full_uses(&mut self) {
+        self.uses.force_full_report();
     }
 
-    /// What this gateway has under way everywhere, for a leader that does not know it.
+    /// This gateway's load on all endpoints, for a leader that does not know it.
     pub fn all_loads(&self) -> Vec<EndpointLoad> {
         let mut loads = Vec::new();
         for (id, known) in &self.endpoints {
@@ -423,12 +433,12 @@
         loads
     }
 
-    /// How many endpoints are known.
+    /// The number of known endpoints.
     pub fn len(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// True when no endpoint is known.
+    /// True if no endpoint is known.
     pub fn is_empty(&self) -> bool {
         self.endpoints.is_empty()
     }
--- a/src/relay/held.rs
+++ b/src/relay/held.rs
@@ -1,4 +1,5 @@
-//! One request and the endpoints that ended under others like it: what it tells of them, and whether it may be sent.
+//! Reports the outcome of a request whose content may crash endpoints, and decides whether such a
+//! request may be sent.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,39 +15,40 @@
 use super::trial::{Trial, TrialWait};
 use crate::message::{BrokenRun, RequestKey, SessionUp};
 
-/// A request that had not begun counts as if it had been there this long: one that is sent while its
-/// endpoint ends would look as if it had ended it at once.
+/// The run time that is reported at least for a request whose response had not started. Otherwise a
+/// request sent while its endpoint was already ending would look as if it had crashed it at once.
 const NOT_BEGUN_MIN_MS: u64 = 200;
-/// The largest body whose digest is worth its processor time while no endpoint has ended.
+/// The largest body that is hashed for the record of served contents while no request has a
+/// standing; the hash of a larger one costs too much CPU time.
 const SERVED_BODY_MAX_BYTES: usize = 64 << 10;
-/// How long the leader's judgement of an end takes: the gateways' reports are gathered, and it is committed
-/// and told.
+/// How long the leader takes to judge a crash: it collects the gateways' reports, commits its
+/// decision and distributes it.
 const VERDICT_MS: u64 = 350;
 /// How long a request waits for the leader to allow a trial.
-const TRIAL_ANSWER_MS: u64 = 300;
-/// When a client comes again that got no answer on a trial.
-const TRIAL_AGAIN_MS: u64 = 1_000;
+const TRIAL_WAIT_MS: u64 = 300;
+/// `Retry-After` of a request that was allowed no trial in time.
+const TRIAL_RETRY_MS: u64 = 1_000;
 
 impl Exchange {
-    /// Notes that `endpoint` broke the answer off.
+    /// Records that `endpoint` broke off the response.
     pub(super) fn note_broken_off(&self, endpoint: &str) {
         let now_ms = self.relay.now_ms();
         let key = self.key();
-        let ran_ms = now_ms.saturating_sub(self.begun_at_ms.unwrap_or(self.sent_at_ms));
+        let ran_ms = now_ms.saturating_sub(self.response_started_at_ms.unwrap_or(self.sent_at_ms));
         info!(
             event = "run_broken_off",
             request = %self.meta.id,
             endpoint,
             key = %key,
-            begun = self.begun_at_ms.is_some(),
+            begun = self.response_started_at_ms.is_some(),
             ran_ms
         );
         let Some(known) = self.relay.fleet().endpoint(endpoint) else { return };
-        // One that leaves ends when it has said so.
+        // An endpoint that announced its shutdown did not crash.
         if known.leaving {
             return;
         }
-        let least_ms = if self.begun_at_ms.is_some() { 0 } else { NOT_BEGUN_MIN_MS };
+        let least_ms = if self.response_started_at_ms.is_some() { 0 } else { NOT_BEGUN_MIN_MS };
         let suspect = Suspect {
             id: known.id.clone(),
             service: known.service.clone(),
@@ -56,19 +58,24 @@
         self.report_run(now_ms, suspect, ran_ms.max(least_ms));
     }
 
-    /// Notes that `endpoint` was found to have ended, which closed no connection.
+    /// Records that `endpoint` was found to have ended without closing its connections.
     ///
-    /// When it ended is not known; what it answered last, it answered before.
+    /// The time of its end is unknown; only the time until the last received data counts as run
+    /// time.
     pub(super) fn note_ended(&self, endpoint: &Arc<str>, end: IncarnationEnd) {
         let now_ms = self.relay.now_ms();
         info!(event = "run_ended", request = %self.meta.id, endpoint = %endpoint, key = %self.key(), end = ?end);
-        let Some(begun_at_ms) = self.begun_at_ms else { return };
+        let Some(response_started_at_ms) = self.response_started_at_ms else { return };
         let service = self.chosen.service.name.clone();
-        // One that cannot be reached is asked again: it counts as ended once it is replaced.
+        // An unreachable endpoint is probed again and counts as ended only once it is replaced.
         let is_unreachable = end == IncarnationEnd::Unreachable;
         let known = self.relay.fleet().endpoint(endpoint).filter(|_| is_unreachable);
         let suspect = Suspect { id: endpoint.clone(), service, endpoint: known, is_silent: false };
-        self.report_run(now_ms, suspect, self.heard_at_ms.saturating_sub(begun_at_ms));
+        self.report_run(
+            now_ms,
+            suspect,
+            self.last_data_at_ms.saturating_sub(response_started_at_ms),
+        );
     }
 
     fn report_run(&self, now_ms: u64, suspect: Suspect, ran_ms: u64) {
@@ -78,21 +85,22 @@
         let run = BrokenRun { key, weights: self.meta.weights.clone(), ran_ms, served_ago_ms };
         let is_evidence = self.relay.crashes.note_broken_run(now_ms, suspect, self.sent_at_ms, run);
         if let (true, Some(trial)) = (is_evidence, &self.trial) {
-            trial.had_outcome();
+            trial.mark_outcome_known();
         }
     }
 
     /// Waits until the leader has judged the end of an endpoint that closed no connection.
     ///
-    /// Guards against sending a request that ends its endpoints on to the next one: everything that waited
-    /// there is sent on at the same moment, before the leader can know which request was the cause.
+    /// Without this wait a request that crashes its endpoints would reach the next one: all
+    /// requests that waited at the ended endpoint are resent at the same moment, before the leader
+    /// can know which of them caused the end.
     pub(super) async fn wait_for_verdict(&self) {
         let relay = &self.relay;
         let until_ms = (relay.now_ms() + VERDICT_MS).min(self.ends_at_ms);
         relay.clock.sleep_until(until_ms).await;
     }
 
-    /// Notes that the request was served, and tells the leader if it wants to know.
+    /// Records that the request was served, and tells the leader if it watches the request.
     pub(super) fn note_served(&self) {
         let crashes = &self.relay.crashes;
         if crashes.standings().is_empty() && self.body.len() > SERVED_BODY_MAX_BYTES {
@@ -102,40 +110,42 @@
         crashes.note_served(self.relay.now_ms(), key);
         if crashes.standings().is_watched(&key) {
             info!(event = "watched_request_served", request = %self.meta.id, key = %key);
-            crashes.report(SessionUp::Served(key));
+            crashes.send_to_leader(SessionUp::Served(key));
         }
         if let Some(trial) = &self.trial {
-            trial.had_outcome();
+            trial.mark_outcome_known();
         }
     }
 
-    /// Waits until the request may be sent, if it was held and the leader has to be asked.
+    /// Returns whether the request may be sent; asks the leader for a trial if the request was held
+    /// long enough.
     ///
     /// # Errors
-    /// It is held: endpoints ended under requests like it.
-    pub(super) async fn may_be_sent(&mut self) -> Result<Permission, NotSent> {
+    /// / The request is held, because endpoints ended while they ran requests with the same
+    /// content.
+    pub(super) async fn obtain_permission(&mut self) -> Result<Permission, NotSent> {
         if self.relay.crashes.standings().is_empty() {
-            return Ok(Permission::Free);
+            return Ok(Permission::Unrestricted);
         }
-        if self.trial.is_some() && self.may_give_again() {
+        if self.trial.is_some() && self.can_send_again() {
             return Ok(Permission::Once);
         }
         let key = self.key();
         let permission = self.relay.crashes.standings().permission(self.relay.now_ms(), key);
         match permission {
-            Permission::Free | Permission::Once => Ok(permission),
+            Permission::Unrestricted | Permission::Once => Ok(permission),
             Permission::Refused { after_ms } => Err(NotSent::Held { after_ms }),
-            Permission::Ask => {
+            Permission::AskLeader => {
                 self.trial = Some(self.ask_for_trial(key).await?);
                 Ok(Permission::Once)
             }
         }
     }
 
-    /// Looks again after a wait: what other tries did meanwhile may have had it held.
+    /// Checks after a wait that the request is not held because of other attempts in the meantime.
     ///
     /// # Errors
-    /// It is held by now.
+    /// / The request is held.
     pub(super) fn check_not_held(&self) -> Result<(), NotSent> {
         if self.relay.crashes.standings().is_empty() {
             return Ok(());
@@ -147,13 +157,13 @@
 
     async fn ask_for_trial(&self, key: RequestKey) -> Result<Trial, NotSent> {
         let relay = &self.relay;
-        let refused = NotSent::Held { after_ms: TRIAL_AGAIN_MS };
+        let refused = NotSent::Held { after_ms: TRIAL_RETRY_MS };
         if !relay.is_confirmed(relay.now_ms()) {
             return Err(refused);
         }
         let _wait = TrialWait::new(relay, key);
-        relay.crashes.report(SessionUp::AskForTrial(key));
-        let until_ms = (relay.now_ms() + TRIAL_ANSWER_MS).min(self.ends_at_ms);
+        relay.crashes.send_to_leader(SessionUp::AskForTrial(key));
+        let until_ms = (relay.now_ms() + TRIAL_WAIT_MS).min(self.ends_at_ms);
         loop {
             let changed = relay.changed.notified();
             tokio::pin!(changed);
@@ -166,7 +176,6 @@
             if now_ms >= until_ms {
                 return Err(refused);
             }
-            // Woken by a change, or to give up.
             let _ = timeout(Duration::from_millis(until_ms - now_ms), changed).await;
         }
     }
--- a/src/relay/idle.rs
+++ b/src/relay/idle.rs
@@ -1,15 +1,15 @@
-//! Connections that wait for their next request.
+//! Keeps idle connections for reuse.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// How long a connection is used again after its last answer where the endpoint says nothing.
+/// How long an idle connection is reused, unless the endpoint states a shorter time.
 const IDLE_MAX_MS: u64 = 4_000;
-/// The share of the time an endpoint promises to keep a connection after which it is not used: a
-/// request could cross the close.
+/// The share of the keep-alive time promised by the endpoint for which a connection is reused.
+/// Later, a request could cross the endpoint's close.
 const IDLE_SHARE: f64 = 0.7;
 
-/// Idle connections by address, the latest used first.
+/// Idle connections by address; the most recently used one is reused first.
 #[derive(Debug)]
 pub struct IdleConnections<C> {
     by_address: HashMap<SocketAddr, Vec<Idle<C>>>,
@@ -28,12 +28,13 @@
 }
 
 impl<C> IdleConnections<C> {
-    /// None yet.
+    /// Creates an empty set.
     pub fn new() -> Self {
         Self { by_address: HashMap::new() }
     }
 
-    /// Keeps a connection for its next request; the endpoint keeps it for `keep_alive_ms`.
+    /// Keeps a connection for its next request; the endpoint promises to keep it for
+    /// `keep_alive_ms`.
     pub fn put(
         &mut self,
         now_ms: u64,
@@ -46,7 +47,7 @@
         self.by_address.entry(address).or_default().push(Idle { connection, until_ms });
     }
 
-    /// The latest used connection that `is_ready`; those that are too old are dropped.
+    /// Takes the most recently used connection that `is_ready`, and drops expired ones.
     pub fn take(
         &mut self,
         now_ms: u64,
@@ -64,7 +65,7 @@
         self.by_address.remove(&address);
     }
 
-    /// Drops what is too old everywhere.
+    /// Drops all expired connections.
     pub fn prune(&mut self, now_ms: u64) {
         for idle in self.by_address.values_mut() {
             idle.retain(|idle| idle.until_ms > now_ms);
--- a/src/relay/known.rs
+++ b/src/relay/known.rs
@@ -1,91 +1,94 @@
-//! What a gateway knows of one endpoint, and what a request can expect there.
+//! The state of one endpoint as a gateway knows it, and the cost estimate for sending a request
+//! there.
 
 use tokio::sync::watch;
 
 use super::prompt::{PrefixCache, PromptChain};
-use super::waiting::{ReadingPace, UnreadMs, Waiting};
+use super::waiting::{ReadingPace, UnansweredRequests, UnreadMs};
 use crate::hash;
 use crate::message::{Load, RegisteredEndpoint, WeightsName};
 use crate::policy::endpoint_backoff::EndpointBackoff;
 use crate::policy::rank::{LATE_RANK, Urgency};
 
-/// Answers of an endpoint after which its own pace goes before that of all.
-const OWN_PACE_MIN_ANSWERS: u32 = 12;
-/// What a full batch costs a request: each one more slows every other one.
+/// The number of measured responses from which an endpoint's own reading pace is used instead of
+/// the pace of all endpoints.
+const OWN_PACE_MIN_RESPONSES: u32 = 12;
+/// The cost of a full batch to a request: each running request slows down all others.
 const FULL_BATCH_MS: f64 = 100.0;
-/// Requests that a plain service queues for each one that it runs, at least; the users' queue four
-/// for each, and two of them wait no longer than the latency objectives allow.
+/// Requests that a plain service queues for each one that it runs, as a lower bound: the users'
+/// services queue four, and two wait no longer than the latency objectives allow.
 const QUEUED_PER_SLOT: u32 = 2;
 
-/// An endpoint as one gateway knows it.
+/// The state of an endpoint as one gateway knows it.
 #[derive(Debug)]
-pub(super) struct Known {
+pub(super) struct EndpointState {
     pub(super) endpoint: RegisteredEndpoint,
     pub(super) own_running: u32,
     pub(super) others_running: u32,
-    pub(super) waiting: Waiting,
+    pub(super) waiting: UnansweredRequests,
     pub(super) pace: ReadingPace,
-    pub(super) kept: PrefixCache,
-    /// The hash of its address.
+    pub(super) prefix_cache: PrefixCache,
+    /// The hash of the endpoint's address.
     pub(super) hash: u64,
     pub(super) failures: u32,
     pub(super) closed_until_ms: u64,
     pub(super) backoff: EndpointBackoff,
     /// The time until which the endpoint counts as leaving because an answer announced it.
     pub(super) leaving_until_ms: u64,
-    /// Tells those that wait for its answers when it has ended; made when a request is sent there.
+    /// Notifies the requests that await its responses when it has ended; created when a request is
+    /// first sent there.
     pub(super) ended: Option<watch::Sender<IncarnationEnd>>,
 }
 
-/// What is known of an incarnation's end that closed no connection.
+/// The evidence that an incarnation ended without closing its connections, in order of certainty.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum IncarnationEnd {
-    /// Nothing.
+    /// No evidence.
     None,
-    /// It has been silent for long and cannot be reached, which may be the network's fault.
+    /// Silent for long and unreachable, which may be a network fault.
     Unreachable,
-    /// It has been silent for long and refuses connections, or answers nothing that it is asked. It may still
-    /// go on, or finish answers before its process ends.
+    /// Silent for long, and refuses connections or answers no probe. The process may still recover,
+    /// or complete responses before it ends.
     Unresponsive,
     /// Another incarnation has taken its place.
     Replaced,
 }
 
-/// What a request can expect at an endpoint.
+/// The expected cost and queue rank of a request at an endpoint.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Expected {
+pub(super) struct CostEstimate {
     pub(super) cost_ms: f64,
     pub(super) rank: Option<u8>,
 }
 
-/// What matters of a request for a model.
+/// The properties of a request to a model that matter for selecting an endpoint.
 #[derive(Debug, Clone)]
 pub struct Wanted {
-    /// The weights that have to answer it.
+    /// The weights that the request needs.
     pub weights: WeightsName,
-    /// The priority of its route.
+    /// The priority of the request.
     pub priority: u8,
-    /// What is left of its latency objective.
+    /// The time left until the latency objective.
     pub left_ms: f64,
-    /// The tokens of its prompt.
+    /// The length of the prompt.
     pub prompt_tokens: u32,
-    /// The parts of its prompt.
+    /// The parts of the prompt.
     pub prompt: PromptChain,
-    /// The tokens that fit an engine's memory.
+    /// The token capacity of an engine's memory.
     pub memory_tokens: u64,
 }
 
-impl Known {
-    /// A registered endpoint of which nothing else is known.
+impl EndpointState {
+    /// Creates the state of a newly registered endpoint.
     pub(super) fn new(endpoint: RegisteredEndpoint) -> Self {
         Self {
             hash: hash::stable(&endpoint.address.to_string()),
             endpoint,
             own_running: 0,
             others_running: 0,
-            waiting: Waiting::new(),
+            waiting: UnansweredRequests::new(),
             pace: ReadingPace::new(),
-            kept: PrefixCache::new(),
+            prefix_cache: PrefixCache::new(),
             failures: 0,
             closed_until_ms: 0,
             backoff: EndpointBackoff::default(),
@@ -94,17 +97,17 @@
         }
     }
 
-    /// True when the endpoint is leaving according to its registration or to a recent answer.
+    /// True if the endpoint is leaving according to its registration or to a recent response.
     pub(super) fn is_leaving(&self, now_ms: u64) -> bool {
         self.endpoint.leaving || now_ms < self.leaving_until_ms
     }
 
-    /// True when as many requests are under way here as it takes. An endpoint queues a few more
-    /// than it runs, and what the other gateways have under way is known late, so that full by
-    /// that may be half empty.
+    /// True if the endpoint has as many requests as it takes. A plain service may queue requests
+    /// beyond its slots: the counts of the other gateways arrive late, so an endpoint that looks
+    /// full may be half empty.
     pub(super) fn is_full(&self, is_engine: bool) -> bool {
         let slots = self.endpoint.slots;
-        // An engine gives no room: each request more slows every other one there.
+        // Engines get no queue allowance: each additional request slows down all others.
         let queued = if is_engine { 0 } else { slots * QUEUED_PER_SLOT };
         self.own_running + self.others_running >= slots + queued
     }
@@ -116,27 +119,27 @@
         Load { running: self.own_running, waiting_ms, late_ms, demand_per_min }
     }
 
-    /// The tokens of a prompt that the endpoint does not keep.
+    /// The tokens of a prompt that the endpoint has to read because it has not cached them.
     pub(super) fn unread_tokens(&self, wanted: &Wanted) -> u32 {
-        wanted.prompt_tokens.saturating_sub(self.kept.cached_tokens(&wanted.prompt))
+        wanted.prompt_tokens.saturating_sub(self.prefix_cache.cached_tokens(&wanted.prompt))
     }
 
-    /// How fast this endpoint reads, as far as enough answers showed it.
+    /// The endpoint's own reading pace, or `usual` until enough responses were measured.
     pub(super) fn pace(&self, usual: ReadingPace) -> ReadingPace {
-        if self.pace.noted() < OWN_PACE_MIN_ANSWERS { usual } else { self.pace }
+        if self.pace.noted() < OWN_PACE_MIN_RESPONSES { usual } else { self.pace }
     }
 
-    /// What a request that is sent now can expect here.
-    pub(super) fn expect(
+    /// Estimates the cost of a request that is sent now.
+    pub(super) fn estimate(
         &self,
         now_ms: u64,
         wanted: Option<&Wanted>,
         usual: ReadingPace,
-    ) -> Expected {
+    ) -> CostEstimate {
         let running = f64::from(self.own_running + self.others_running);
         let batch_ms = running / f64::from(self.endpoint.slots.max(1)) * FULL_BATCH_MS;
-        // A plain service works on several requests at once: one that takes long holds up no other.
-        let Some(wanted) = wanted else { return Expected { cost_ms: batch_ms, rank: None } };
+        // A plain service runs several requests at once, so a slow one delays no other.
+        let Some(wanted) = wanted else { return CostEstimate { cost_ms: batch_ms, rank: None } };
         let pace = self.pace(usual);
         let urgency = Urgency {
             priority: wanted.priority,
@@ -146,7 +149,7 @@
         let wait_ms = self.waiting.wait_ms(now_ms);
         let rank = urgency.rank_after(wait_ms);
         let waits_ms = if rank == LATE_RANK { self.waiting.late_wait_ms(now_ms) } else { wait_ms };
-        // An endpoint that reads slowly is worth it only for a short prompt.
-        Expected { cost_ms: batch_ms + waits_ms + urgency.reading_ms, rank: Some(rank) }
+        // Slow reading raises the cost of long prompts most.
+        CostEstimate { cost_ms: batch_ms + waits_ms + urgency.reading_ms, rank: Some(rank) }
     }
 }
--- a/src/relay/limits.rs
+++ b/src/relay/limits.rs
@@ -29,7 +29,7 @@
 struct LimitedEndpoint {
     limit: EndpointLimit,
     advertised_at_ms: u64,
-    told_per_min: u32,
+    reported_per_min: u32,
 }
 
 /// The rate limits of all endpoints.
@@ -51,11 +51,11 @@
     }
 
     pub(super) fn set_gateways(&mut self, now_ms: u64, gateways: u32) {
-        self.gateways.told(now_ms, gateways);
+        self.gateways.set_reported(now_ms, gateways);
     }
 
-    pub(super) fn confirmed(&mut self, sent_at_ms: u64) {
-        self.gateways.confirmed(sent_at_ms);
+    pub(super) fn note_confirmed(&mut self, sent_at_ms: u64) {
+        self.gateways.note_confirmed(sent_at_ms);
     }
 
     /// Applies the rate limit in an endpoint's answer to a request sent at `sent_at_ms`.
@@ -77,7 +77,7 @@
         let Some(limited) = self.by_endpoint.get_mut(endpoint) else {
             let limit = EndpointLimit::new(now_ms, per_s);
             let change = LimitChange::Set { per_s: limit.per_s() };
-            let limited = LimitedEndpoint { limit, advertised_at_ms: now_ms, told_per_min: 0 };
+            let limited = LimitedEndpoint { limit, advertised_at_ms: now_ms, reported_per_min: 0 };
             self.by_endpoint.insert(endpoint.clone(), limited);
             return Some(change);
         };
@@ -139,15 +139,15 @@
     pub(super) fn wait_ms(&mut self, now_ms: u64, endpoint: &str, draw: f64) -> u64 {
         let Some(limited) = self.by_endpoint.get_mut(endpoint) else { return 0 };
         let is_in_touch = self.gateways.is_in_touch(now_ms);
-        let told = self.others.get_mut(endpoint).and_then(|others| others.get(now_ms));
+        let reported = self.others.get_mut(endpoint).and_then(|others| others.get(now_ms));
         let others = OtherGateways {
             gateways: self.gateways.largest(now_ms).unwrap_or(1),
-            demand_per_min: is_in_touch.then_some(told.unwrap_or(0)),
+            demand_per_min: is_in_touch.then_some(reported.unwrap_or(0)),
         };
         limited.limit.wait_ms(now_ms, others, draw)
     }
 
-    /// Takes the token of a request that is sent to `endpoint`.
+    /// Consumes the token of a request that is sent to `endpoint`.
     pub(super) fn take(&mut self, endpoint: &str) {
         if let Some(limited) = self.by_endpoint.get_mut(endpoint) {
             limited.limit.take();
@@ -156,7 +156,7 @@
 
     /// This gateway's demand for `endpoint` in requests per minute; 0 without a limit.
     pub(super) fn demand_per_min(&self, endpoint: &str) -> u32 {
-        self.by_endpoint.get(endpoint).map_or(0, |limited| limited.told_per_min)
+        self.by_endpoint.get(endpoint).map_or(0, |limited| limited.reported_per_min)
     }
 
     /// The endpoints for which this gateway's demand changed since the last call.
@@ -164,10 +164,10 @@
         let mut changed = Vec::new();
         for (endpoint, limited) in &mut self.by_endpoint {
             let per_min = limited.limit.demand_per_min(now_ms);
-            if per_min == limited.told_per_min {
+            if per_min == limited.reported_per_min {
                 continue;
             }
-            limited.told_per_min = per_min;
+            limited.reported_per_min = per_min;
             changed.push(endpoint.clone());
         }
         changed
--- a/src/relay/liveness.rs
+++ b/src/relay/liveness.rs
@@ -1,4 +1,5 @@
-//! Asking endpoints that broke answers off, or are silent for long, whether they are still there.
+//! Probes endpoints that broke off responses, or have been silent for long, to find out whether
+//! they still run.
 
 use std::io;
 use std::sync::Arc;
@@ -16,73 +17,75 @@
 use crate::message::RegisteredEndpoint;
 use crate::metrics::Counter;
 
-/// How long answers that break off with an endpoint are gathered before it is asked: they come within
-/// some milliseconds, and a process that ends closes its listener with them.
-const GATHER_MS: u64 = 30;
-/// Connections in a row that a silent endpoint refuses before it counts as ended.
+/// How long responses that break off are collected before their endpoint is probed. All of them
+/// arrive within milliseconds of a crash, and a process that ends closes its listener at the same
+/// time.
+const COLLECT_MS: u64 = 30;
+/// Consecutive refused connections after which a silent endpoint counts as ended.
 const REFUSALS_MIN: u32 = 2;
-/// How long a silent endpoint is asked that refuses nothing before it counts as ended: engines stand still for
-/// two seconds and go on.
+/// How long a silent endpoint that refuses no connection is probed before it counts as ended:
+/// engines may hang for two seconds and recover.
 const UNRESPONSIVE_MS: u64 = 2_300;
-/// The pause between two questions to a silent endpoint.
-const ASK_AGAIN: Duration = Duration::from_millis(100);
-/// A connection that comes up at all does so within a round trip.
+/// The pause between two probes of a silent endpoint.
+const PROBE_PAUSE: Duration = Duration::from_millis(100);
+/// A connection is established within one round trip, if at all.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Asks suspected endpoints whether they are still there, as long as the process runs.
+/// Probes suspected endpoints for as long as the process runs.
 pub(super) async fn watch(
     relay: Arc<Relay>,
     engines: Arc<dyn EngineClient>,
     mut suspects: mpsc::UnboundedReceiver<Suspect>,
 ) {
     while let Some(suspect) = suspects.recv().await {
-        tokio::spawn(ask(relay.clone(), engines.clone(), suspect));
+        tokio::spawn(probe_suspect(relay.clone(), engines.clone(), suspect));
     }
 }
 
-async fn ask(relay: Arc<Relay>, engines: Arc<dyn EngineClient>, suspect: Suspect) {
+async fn probe_suspect(relay: Arc<Relay>, engines: Arc<dyn EngineClient>, suspect: Suspect) {
     if suspect.is_silent {
-        ask_silent(&relay, engines.as_ref(), suspect).await;
+        probe_silent(&relay, engines.as_ref(), suspect).await;
         return;
     }
-    tokio::time::sleep(Duration::from_millis(GATHER_MS)).await;
+    tokio::time::sleep(Duration::from_millis(COLLECT_MS)).await;
     let Suspect { id, service, endpoint, .. } = suspect;
     let liveness = match &endpoint {
         Some(endpoint) => {
             let is_engine = relay.table().is_engine(&service);
-            ask_liveness(engines.as_ref(), endpoint, is_engine).await
+            probe_endpoint(engines.as_ref(), endpoint, is_engine).await
         }
         None => Liveness::Refusing,
     };
-    let (now_ms, broken) = (relay.now_ms(), relay.crashes.broken_by(&id));
+    let (now_ms, broken) = (relay.now_ms(), relay.crashes.count_broken(&id));
     info!(event = "endpoint_asked", endpoint = %id, liveness = ?liveness, broken);
     if !matches!(liveness, Liveness::Refusing | Liveness::Ignoring) {
         relay.crashes.note_alive(now_ms, &id);
         return;
     }
     relay.metrics.count(Counter::EndpointsEnded);
-    relay.fleet().ended(now_ms, &id);
+    relay.fleet().mark_ended(now_ms, &id);
     if let Some(endpoint) = endpoint {
         relay.pool.forget(endpoint.address);
     }
     relay.crashes.note_ended(now_ms, &id, &service);
 }
 
-/// Asks a silent endpoint until it answers, or has refused or ignored enough to count as ended.
-async fn ask_silent(relay: &Relay, engines: &dyn EngineClient, suspect: Suspect) {
+/// Probes a silent endpoint until it answers, or has refused or ignored enough probes to count as
+/// ended.
+async fn probe_silent(relay: &Relay, engines: &dyn EngineClient, suspect: Suspect) {
     let Suspect { id, service, endpoint: Some(endpoint), .. } = suspect else { return };
     let is_engine = relay.table().is_engine(&service);
     let asked_at_ms = relay.now_ms();
     let mut refusals = 0;
     let mut end = IncarnationEnd::Unreachable;
     while refusals < REFUSALS_MIN && relay.now_ms() < asked_at_ms + UNRESPONSIVE_MS {
-        match ask_liveness(engines, &endpoint, is_engine).await {
+        match probe_endpoint(engines, &endpoint, is_engine).await {
             Liveness::Up => return,
             Liveness::Refusing => refusals += 1,
             Liveness::Ignoring => end = IncarnationEnd::Unresponsive,
             Liveness::Unknown => end = IncarnationEnd::Unreachable,
         }
-        tokio::time::sleep(ASK_AGAIN).await;
+        tokio::time::sleep(PROBE_PAUSE).await;
     }
     if refusals >= REFUSALS_MIN {
         end = IncarnationEnd::Unresponsive;
@@ -91,36 +94,37 @@
     let now_ms = relay.now_ms();
     relay.pool.forget(endpoint.address);
     let mut fleet = relay.fleet();
-    fleet.ended(now_ms, &id);
-    fleet.may_have_ended(&id, end);
+    fleet.mark_ended(now_ms, &id);
+    fleet.notify_possible_end(&id, end);
 }
 
-/// What an endpoint does that is asked whether it is still there.
+/// The result of a probe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Liveness {
-    /// It answers, or at least takes connections.
+    /// The endpoint answers, or at least accepts connections.
     Up,
-    /// Nobody listens at its address.
+    /// Nothing listens at the endpoint's address.
     Refusing,
-    /// It takes connections and answers nothing.
+    /// The endpoint accepts connections but does not answer.
     Ignoring,
-    /// It cannot be reached, which may be the network's fault.
+    /// The endpoint cannot be reached, which may be a network fault.
     Unknown,
 }
 
-async fn ask_liveness(
+async fn probe_endpoint(
     engines: &dyn EngineClient,
     endpoint: &RegisteredEndpoint,
     is_engine: bool,
 ) -> Liveness {
     match timeout(CONNECT_TIMEOUT, TcpStream::connect(endpoint.address)).await {
-        // Nobody listens there; any other fault may be the network's, or this process's own.
+        // Any other error may be a fault of the network or of this process.
         Ok(Err(error)) if is_refusal(&error) => return Liveness::Refusing,
         Err(_) | Ok(Err(_)) => return Liveness::Unknown,
         Ok(Ok(_)) => {}
     }
-    // A plain service has nothing to ask that takes no place from requests. An engine that takes
-    // connections and answers nothing runs nothing either.
+    // A probe request to a plain service would compete with client requests, so an accepted
+    // connection is enough. An engine that accepts connections without answering does not run any
+    // request either.
     if !is_engine || engines.probe(endpoint).await { Liveness::Up } else { Liveness::Ignoring }
 }
 
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -1,10 +1,10 @@
-//! The relay: requests passed on unchanged, by host and path, straight to endpoints that guard
-//! themselves.
+//! The relay gateway: forwards HTTP requests unchanged, by host and path, to endpoints that enforce
+//! their own limits.
 //!
-//! A relay follows the leader of control for routes, registered endpoints and the weights that they
-//! hold. The gateway that read a request is the only one that may send it, so a request that may
-//! run only once needs no claim: once its bytes may have left for an endpoint, it is never sent
-//! again. How the platform spells requests is behind [`PlatformHeaders`].
+//! A relay follows the control leader for routes, registered endpoints and the weights loaded on
+//! each endpoint. Only the gateway that read a request may send it, so a request that must run at
+//! most once needs no cluster-wide claim: once its bytes may have reached an endpoint, the gateway
+//! never resends it. [`PlatformHeaders`] maps requests and responses to a platform's HTTP headers.
 
 mod access;
 mod admission;
@@ -54,4 +54,4 @@
 pub use prompt::{PrefixCache, PromptChain, PromptPart};
 pub use session::reconnect_max_ms;
 pub use standings::{Permission, Standings};
-pub use waiting::{Prompt, ReadingPace, UnreadMs, Waiting};
+pub use waiting::{Prompt, ReadingPace, UnansweredRequests, UnreadMs};
--- a/src/relay/orders.rs
+++ b/src/relay/orders.rs
@@ -1,10 +1,11 @@
-//! Giving orders to engines for the leader of control.
+//! Sends the control leader's orders to engines.
 //!
-//! Each endpoint gets its orders from one gateway, which is recorded in the log, so that loads go on
-//! when control changes its leader. A gateway gives orders only while the leader has confirmed its
-//! session a short time ago; only once that time and the engines' own lease have passed may another
-//! gateway order the same endpoint. A gateway that is told to stop gives orders until its process
-//! ends: after a restart it goes on as the same holder, which is sooner than any change of holder.
+//! Each endpoint gets its orders from a single gateway, its order holder, which is recorded in the
+//! replicated log, so that loads continue across a change of leader. A gateway sends orders only
+//! for a short time after the leader last confirmed its session; another gateway may order the same
+//! endpoint only after that time and the engine's own lease have passed. A gateway in a planned
+//! stop sends orders until its process ends: after a restart it continues as the same holder, which
+//! is faster than any change of holder.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -13,13 +14,14 @@
 use crate::message::{EngineOrder, OrderOutcome, RegisteredEndpoint};
 use crate::wire::BoxFuture;
 
-/// How long after its last confirmed renewal was sent a gateway may give orders: three renewals.
+/// How long after the send time of its last confirmed renewal a gateway may send orders: three
+/// renewals.
 pub const ORDER_HOLD_MS: u64 = 1_000;
 
-/// How long after the look at the lease an order may still be written: connecting takes up to 250 ms.
+/// How long after the lease check an order may still be written: connecting takes up to 250 ms.
 pub const ORDER_WRITE_MS: u64 = 300;
 
-/// Until when orders may be given; looked at right before each one is written.
+/// The lease under which a gateway sends orders; checked immediately before each one is written.
 #[derive(Debug, Clone)]
 pub struct OrderLease {
     until_ms: Arc<AtomicU64>,
@@ -27,27 +29,27 @@
 }
 
 impl OrderLease {
-    /// A lease that has not begun.
+    /// Creates a lease that has not begun.
     pub fn new(clock: Clock) -> Self {
         Self { until_ms: Arc::default(), clock }
     }
 
-    /// Extends the lease: the leader confirmed a renewal that was sent at `sent_at_ms`.
+    /// Extends the lease after the leader confirmed a renewal sent at `sent_at_ms`.
     pub fn confirm(&self, sent_at_ms: u64) {
         self.until_ms.fetch_max(sent_at_ms + ORDER_HOLD_MS, Ordering::AcqRel);
     }
 
-    /// True while orders may be given.
+    /// True while orders may be sent.
     pub fn holds(&self) -> bool {
         self.clock.now_ms() < self.until_ms.load(Ordering::Acquire)
     }
 }
 
-/// How orders reach engines.
+/// The client that sends orders and probes to engines.
 pub trait EngineClient: Send + Sync + 'static {
     /// Sends `order` unless `lease` has ended, and waits for the outcome.
     fn carry_out(&self, order: EngineOrder, lease: OrderLease) -> BoxFuture<'static, OrderOutcome>;
 
-    /// Asks an engine anything that it answers at once; false when it does not.
+    /// Probes an engine with a request that it answers at once; false if no answer comes.
     fn probe(&self, endpoint: &RegisteredEndpoint) -> BoxFuture<'static, bool>;
 }
--- a/src/relay/pick.rs
+++ b/src/relay/pick.rs
@@ -8,58 +8,60 @@
 
 use super::choice::{self, Candidate};
 use super::fleet::Fleet;
-use super::known::{Expected, Known, Wanted};
+use super::known::{CostEstimate, EndpointState, Wanted};
 use super::limits::EndpointLimits;
 use super::waiting::ReadingPace;
 use crate::message::Holding;
 
-/// Endpoints that are compared for a request, at least.
+/// The minimum number of endpoints that are compared for a request.
 const COMPARED_MIN: usize = 8;
-/// So few gateways compare all endpoints and take the cheapest; more of them compare a share.
-const ALL_COMPARED_BY: usize = 8;
-/// How much longer a request may wait in the own zone and still go there: a link between zones takes
-/// a few milliseconds, and its bytes cost.
+/// The largest number of gateways that compare all endpoints and select the cheapest one; with more
+/// gateways each one compares a share of the endpoints.
+const ALL_COMPARED_MAX_GATEWAYS: usize = 8;
+/// How much longer a request may wait for an endpoint in the gateway's own zone: a link between
+/// zones adds a few milliseconds, and its traffic is charged.
 const ZONE_PREFERENCE_MS: f64 = 15.0;
 /// The interval at which a throttled or leaving endpoint is reported as failing; after a report,
 /// the leader places no weights there for longer than this.
 const FAILING_REPORT_INTERVAL_MS: u64 = 1_000;
 
-/// Where a request may go.
+/// The result of selecting an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Picked {
-    /// To this endpoint.
+    /// Send the request to this endpoint.
     Endpoint {
-        /// Its incarnation.
+        /// The endpoint's incarnation.
         id: Arc<str>,
-        /// Its name.
+        /// The endpoint's name.
         name: Arc<str>,
-        /// Its address.
+        /// The endpoint's address.
         address: SocketAddr,
-        /// The version that its weights must have, where that matters.
+        /// The version that its weights must have, if only one will do.
         weights_version: Option<u64>,
         /// The version that its weights are known to have.
         held_version: Option<u64>,
-        /// The rank in its queue, where it has weights.
+        /// The request's rank in the endpoint's queue, if it needs weights.
         rank: Option<u8>,
-        /// What the request is expected to wait there.
+        /// The expected cost of the endpoint, mainly the wait there.
         expected_ms: u64,
     },
-    /// The endpoints that could take it are full.
+    /// The endpoints that could take the request are full or paused.
     Full,
-    /// This gateway's share of the rate limits of the endpoints that could take it is used up.
+    /// This gateway's share of the rate limits of the endpoints that could take the request is used
+    /// up.
     Limited {
         /// The time until one of them may take the next request.
         after_ms: u64,
     },
-    /// The endpoints that could take it are in backoff or limited; the next available one is in
-    /// backoff.
+    /// The endpoints that could take the request are in backoff or limited; the next available one
+    /// is in backoff.
     BackingOff {
         /// The time until one of them may take the next request.
         after_ms: u64,
     },
-    /// No endpoint holds its weights, but they are on their way to one.
+    /// No endpoint holds the weights, but one is loading them.
     Coming,
-    /// No endpoint holds its weights.
+    /// No endpoint holds the weights.
     NoHome,
     /// No endpoint of the service is known to be up.
     NoEndpoint,
@@ -75,7 +77,7 @@
     up: usize,
     /// The number of these that hold the weights.
     holding: usize,
-    /// The number of these to which the weights are on their way.
+    /// The number of these that are loading the weights.
     coming: usize,
     /// The endpoints that are in backoff or whose limit is used up.
     throttled: Vec<ThrottledEndpoint>,
@@ -99,7 +101,7 @@
     tried: &'a [Arc<str>],
     zone: &'a str,
     pace: ReadingPace,
-    endpoints: &'a HashMap<Arc<str>, Known>,
+    endpoints: &'a HashMap<Arc<str>, EndpointState>,
     /// The endpoints that hold or load the weights; `None` if the request needs no weights or no
     /// endpoint is known to have them.
     homes: Option<&'a BTreeMap<Arc<str>, Holding>>,
@@ -150,8 +152,9 @@
         self.add_candidate(id, known, found);
     }
 
-    fn add_candidate(&self, id: &Arc<str>, known: &'a Known, found: &mut Found<'a>) {
-        let Expected { mut cost_ms, rank } = known.expect(self.now_ms, self.wanted, self.pace);
+    fn add_candidate(&self, id: &Arc<str>, known: &'a EndpointState, found: &mut Found<'a>) {
+        let CostEstimate { mut cost_ms, rank } =
+            known.estimate(self.now_ms, self.wanted, self.pace);
         if *known.endpoint.zone == *self.zone {
             cost_ms -= ZONE_PREFERENCE_MS;
         }
@@ -169,8 +172,8 @@
 impl Fleet {
     /// Picks an endpoint of `service`, one that holds the weights if a model is `wanted`.
     ///
-    /// Those in `tried` come last: an endpoint that failed once may well serve the next request, and
-    /// where no other one holds the weights, it is the only one that can.
+    /// Endpoints in `tried` come last: one that failed once may well serve the next request, and if
+    /// no other one holds the weights, it is the only choice.
     pub fn pick(
         &mut self,
         now_ms: u64,
@@ -215,26 +218,27 @@
             due,
             counts_demand,
         };
-        // Few endpoints hold an adapter, so that the others need not be looked at.
+        // Few endpoints hold a given adapter, so only these are considered.
         let ids: Vec<&Arc<str>> = match weights {
             Some(_) => search.homes.into_iter().flatten().map(|(id, _)| id).collect(),
             None => ids.iter().collect(),
         };
         let mut found = Found::default();
-        let compared_max = (ids.len() * ALL_COMPARED_BY / self.gateways.max(1)).max(COMPARED_MIN);
+        let compared_max =
+            (ids.len() * ALL_COMPARED_MAX_GATEWAYS / self.gateways.max(1)).max(COMPARED_MIN);
         let start = self.random.random_range(0..ids.len().max(1));
         for step in 0..ids.len() {
-            // Starting elsewhere each time spreads requests among endpoints that are alike.
+            // A random start spreads requests over endpoints of equal cost.
             let id = ids[(step + start) % ids.len()];
             search.consider(id, &mut self.limits, self.random.random(), &mut found);
             if found.candidates.len() == compared_max {
                 break;
             }
         }
-        choice::prefer_common(&mut found.candidates, wanted, self.pace);
+        choice::discount_preferred(&mut found.candidates, wanted, self.pace);
         let draw: f64 = self.random.random();
-        let best = if self.gateways > ALL_COMPARED_BY {
-            choice::draw_cheap(&found.candidates, draw)
+        let best = if self.gateways > ALL_COMPARED_MAX_GATEWAYS {
+            choice::draw_weighted(&found.candidates, draw)
         } else {
             choice::cheapest(&found.candidates)
         };
@@ -283,12 +287,12 @@
         if coming > 0 { Picked::Coming } else { Picked::NoHome }
     }
 
-    /// True when an endpoint of the service is up and stays.
+    /// True if an endpoint of the service is up and not leaving.
     fn has_endpoint(&self, now_ms: u64, service: &str) -> bool {
         self.has_endpoint_except(now_ms, service, &[])
     }
 
-    /// True when an endpoint of the service that is not in `throttled` is up and stays.
+    /// True if an endpoint of the service that is not in `throttled` is up and not leaving.
     fn has_endpoint_except(
         &self,
         now_ms: u64,
@@ -358,7 +362,7 @@
         id: known.endpoint.id.clone(),
         name: known.endpoint.name.clone(),
         address: known.endpoint.address,
-        // The endpoint refuses if it has another one than is known here.
+        // The endpoint refuses the request if it holds another version than recorded here.
         weights_version: held.filter(|_| due > 0),
         held_version: held,
         rank,
--- a/src/relay/pool.rs
+++ b/src/relay/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints: one request at a time on each, kept between requests.
+//! HTTP/1 connections to endpoints: each carries one request at a time and is kept for reuse.
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, PoisonError};
@@ -19,19 +19,19 @@
 use crate::clock::Clock;
 use crate::error::{Error, Result};
 
-/// A connection that comes up at all does so within a round trip; a lost packet costs a second.
+/// A connection is established within one round trip, if at all; a lost packet adds a second.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// What was sent and is not acknowledged for this long breaks the connection.
+/// How long sent data may stay unacknowledged before the connection is closed.
 const UNACKNOWLEDGED_MAX: Duration = Duration::from_secs(2);
 
-/// A connection with nothing under way on it.
+/// A connection without a request in progress.
 pub type Connection = SendRequest<Full<Bytes>>;
 
-/// A request that was not answered.
+/// A request that got no response.
 pub enum SendFailure {
-    /// Not a byte of it was written.
+    /// Nothing was written.
     NotSent(Error),
-    /// It may have arrived.
+    /// The request may have reached the endpoint.
     Unknown(Error),
 }
 
@@ -42,15 +42,14 @@
 }
 
 impl Pool {
-    /// No connections yet.
     pub fn new(clock: Clock) -> Self {
         Self { clock, idle: Mutex::new(IdleConnections::new()) }
     }
 
-    /// A connection to `address`: an idle one, or a new one.
+    /// Returns an idle connection to `address`, or a new one.
     ///
     /// # Errors
-    /// "Not run" when none could be made.
+    /// / A refusal: no connection could be made, so the request did not run.
     pub async fn connection(&self, address: SocketAddr) -> Result<Connection> {
         if let Some(connection) =
             self.idle().take(self.clock.now_ms(), address, SendRequest::is_ready)
@@ -78,7 +77,7 @@
         Ok(connection)
     }
 
-    /// Keeps a connection whose answer was read whole.
+    /// Keeps a connection whose response was read completely.
     pub fn keep(&self, address: SocketAddr, connection: Connection, headers: &HeaderMap) {
         if connection.is_closed() {
             return;
@@ -92,7 +91,7 @@
         self.idle().forget(address);
     }
 
-    /// Drops what has been idle for too long.
+    /// Drops expired connections.
     pub fn prune(&self) {
         self.idle().prune(self.clock.now_ms());
     }
@@ -102,10 +101,10 @@
     }
 }
 
-/// Sends `request` and waits for the answer's head.
+/// Sends `request` and waits for the response head.
 ///
 /// # Errors
-/// Whether anything of it was written.
+/// / The request got no response; the variant tells whether any of it was written.
 pub async fn send(
     connection: &mut Connection,
     peer: &str,
@@ -121,7 +120,7 @@
     })
 }
 
-/// How long the endpoint promises to keep the connection, from `Keep-Alive: timeout=SECONDS`.
+/// The keep-alive time that the endpoint promises in `Keep-Alive: timeout=SECONDS`.
 fn keep_alive_ms(headers: &HeaderMap) -> Option<u64> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
     for part in value.split(',') {
--- a/src/relay/process.rs
+++ b/src/relay/process.rs
@@ -1,4 +1,4 @@
-//! The process of a relay from start to planned stop.
+//! Runs the process of a relay gateway from its start to a planned stop.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,23 +26,24 @@
 use crate::settings::RelaySettings;
 use crate::wire::BoxFuture;
 
-/// How often the end of a planned stop is looked for.
+/// How often a planned stop checks whether all requests have ended.
 const STOP_POLL: Duration = Duration::from_millis(50);
-/// How often idle connections are looked through.
-const PRUNE: Duration = Duration::from_secs(2);
-/// Connections of clients at once; below the descriptors of the users' instances.
+/// How often expired idle connections are dropped.
+const PRUNE_INTERVAL: Duration = Duration::from_secs(2);
+/// The maximum number of client connections; below the file descriptor limit of the users'
+/// instances.
 const CONNECTIONS_MAX: usize = 3_000;
-/// A client's connection may be idle this long, whatever the routing configuration says now: one
-/// that was accepted under a longer bound must keep it.
+/// How long a client connection may be idle. It is independent of the routing configuration,
+/// because a connection accepted under a longer limit must keep that limit.
 const CLIENT_IDLE_MS: u64 = 90_000;
 
 /// Runs a relay until it is told to stop.
 ///
 /// # Errors
-/// A listener that cannot be opened.
+/// / A listener cannot be opened, or the metrics or the signal handler cannot be set up.
 pub async fn run(
     settings: RelaySettings,
-    border: Arc<dyn PlatformHeaders>,
+    platform_headers: Arc<dyn PlatformHeaders>,
     engines: Arc<dyn EngineClient>,
 ) -> Result<()> {
     let metrics = Metrics::new(&settings.metrics_prefix, settings.metrics_address)?;
@@ -52,12 +53,13 @@
     let mut terminate = signal(SignalKind::terminate())
         .map_err(|error| Error::io("watch signals", "process", error))?;
     let (needs, wanted) = mpsc::unbounded_channel();
-    let (up, told) = mpsc::unbounded_channel();
+    let (up, outgoing) = mpsc::unbounded_channel();
     let (suspects, suspected) = mpsc::unbounded_channel();
     let crashes = CrashWatch::new(settings.name.clone(), suspects, up);
-    let relay = Arc::new(Relay::new(settings.clone(), border, metrics.clone(), needs, crashes));
+    let relay =
+        Arc::new(Relay::new(settings.clone(), platform_headers, metrics.clone(), needs, crashes));
     tokio::spawn(liveness::watch(relay.clone(), engines.clone(), suspected));
-    let queues = session::Queues { needs: wanted, told };
+    let queues = session::Queues { needs: wanted, outgoing };
     tokio::spawn(session::run(relay.clone(), rand::rng().random(), queues, engines));
     tokio::spawn(prune(relay.clone()));
     tokio::spawn(tidy_metrics(metrics.clone()));
@@ -83,18 +85,20 @@
 
 async fn prune(relay: Arc<Relay>) {
     loop {
-        tokio::time::sleep(PRUNE).await;
+        tokio::time::sleep(PRUNE_INTERVAL).await;
         relay.pool.prune();
     }
 }
 
-/// The part of the grace in percent for which open connections take further requests. What comes
-/// later would not have the time to end; the balancer looks elsewhere after two seconds.
+/// The share of the grace period, in percent, for which open connections accept further requests.
+/// Later requests would not have time to finish, and the load balancer stops sending requests here
+/// after two seconds.
 const SERVE_PERCENT: u64 = 28;
-/// What is left of the grace for the process to end.
-const END_MS: u64 = 500;
+/// The part of the grace period that is left for the process to exit.
+const EXIT_MARGIN_MS: u64 = 500;
 
-/// Says not ready at once, serves what comes on open connections, then closes them when idle.
+/// Reports not ready at once, serves requests on open connections for a while, then closes these
+/// when they are idle.
 async fn planned_stop(
     relay: &Arc<Relay>,
     stop: &watch::Sender<bool>,
@@ -106,7 +110,7 @@
     let serve_ms = grace_ms * SERVE_PERCENT / 100;
     tokio::time::sleep(Duration::from_millis(serve_ms)).await;
     let _ = stop.send(true);
-    let left_ms = grace_ms.saturating_sub(serve_ms + END_MS);
+    let left_ms = grace_ms.saturating_sub(serve_ms + EXIT_MARGIN_MS);
     let finished = async {
         while relay.in_progress() > 0 {
             tokio::time::sleep(STOP_POLL).await;
@@ -126,7 +130,7 @@
 
 impl HttpHandler for ReadyHandler {
     fn handle(&self, request: Request<Incoming>) -> BoxFuture<'static, Answer> {
-        let status = if self.relay.border.is_ready_path(request.uri().path()) {
+        let status = if self.relay.platform_headers.is_ready_path(request.uri().path()) {
             ready_status(&self.relay)
         } else {
             StatusCode::NOT_FOUND
--- a/src/relay/prompt.rs
+++ b/src/relay/prompt.rs
@@ -1,7 +1,8 @@
-//! The parts of prompts, and which of them an endpoint still keeps.
+//! Models which parts of prompts each endpoint has in its prefix cache.
 //!
-//! An engine does not read a part again that it keeps for the same weights, if it keeps every part
-//! before it too. What it keeps is guessed from what was sent there: the parts unused longest give way.
+//! An engine skips a part of a prompt that it has cached for the same weights, if it has cached all
+//! parts before it too. The content of the cache is estimated from the prompts sent there, with the
+//! least recently used parts evicted first.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -9,22 +10,22 @@
 use crate::hash;
 use crate::message::WeightsName;
 
-/// Parts of a prompt that are looked at; clients may tell any number.
+/// The number of parts of a prompt that are considered; clients may send any number.
 const PARTS_MAX: usize = 64;
-/// A part counts as at least this much, so that clients cannot fill a gateway's memory with empty
-/// parts; engines keep prompts in blocks of about this size.
+/// The smallest size that a part counts as. It keeps clients from filling a gateway's memory with
+/// empty parts; engines cache prompts in blocks of about this size.
 const PART_TOKENS_MIN: u32 = 16;
-/// Uses that are remembered for each part before the outdated ones are dropped.
+/// The number of uses kept per part before outdated ones are dropped.
 const USES_PER_PART_MAX: usize = 4;
-/// Uses that are remembered in any case.
+/// The number of uses that are always kept.
 const USES_MIN: usize = 256;
 
-/// One part of a prompt.
+/// A part of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// What tells it from other parts.
+    /// The identity of the part's content.
     pub id: u64,
-    /// Its length.
+    /// The length of the part.
     pub tokens: u32,
 }
 
@@ -35,14 +36,15 @@
     tokens: u32,
 }
 
-/// The parts of one prompt in order. The last one is the request's own, the others are shared.
+/// The parts of one prompt in order. The last part is specific to the request, the others are
+/// shared.
 #[derive(Debug, Clone, Default)]
 pub struct PromptChain {
     links: Arc<[Link]>,
 }
 
 impl PromptChain {
-    /// The chain of `parts` for `weights`.
+    /// Creates the chain of `parts` for `weights`.
     pub fn new(weights: &WeightsName, parts: &[PromptPart]) -> Self {
         let mut link_hash = hash::stable(&weights.to_string());
         let mut links = Vec::with_capacity(parts.len());
@@ -54,7 +56,7 @@
         Self { links: links.into() }
     }
 
-    /// The hash of what the prompt shares with others, and its tokens.
+    /// The hash and the length of the shared parts.
     pub fn shared(&self) -> Option<(u64, u32)> {
         let (_, shared) = self.links.split_last()?;
         let last = shared.last()?;
@@ -64,38 +66,38 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Kept {
+struct CachedPart {
     tokens: u32,
     used: u64,
 }
 
-/// What an endpoint keeps of the prompts that this gateway sent there.
+/// An estimate of an endpoint's prefix cache, from the prompts that this gateway sent there.
 #[derive(Debug, Default)]
 pub struct PrefixCache {
-    parts: HashMap<u64, Kept>,
-    /// Each use of a part, the oldest first.
+    parts: HashMap<u64, CachedPart>,
+    /// Each use of a part as hash and use number, oldest first.
     uses: VecDeque<(u64, u64)>,
     tokens: u64,
     count: u64,
 }
 
 impl PrefixCache {
-    /// Keeps nothing.
+    /// Creates an empty cache.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// How many parts are remembered.
+    /// The number of cached parts.
     pub fn len(&self) -> usize {
         self.parts.len()
     }
 
-    /// True when nothing is remembered.
+    /// True if no part is cached.
     pub fn is_empty(&self) -> bool {
         self.parts.is_empty()
     }
 
-    /// The tokens of `chain` that need not be read.
+    /// The tokens of `chain` that the endpoint does not have to read.
     pub fn cached_tokens(&self, chain: &PromptChain) -> u32 {
         let mut tokens: u32 = 0;
         for link in &*chain.links {
@@ -107,25 +109,25 @@
         tokens
     }
 
-    /// Notes that `chain` was sent, where there is room for `capacity_tokens`.
+    /// Records that `chain` was sent to an endpoint whose cache holds `capacity_tokens`.
     pub fn note(&mut self, chain: &PromptChain, capacity_tokens: u64) {
         for link in &*chain.links {
             self.count += 1;
             let used = self.count;
-            let known = self.parts.insert(link.hash, Kept { tokens: link.tokens, used });
-            // Clients may tell a part again with another length.
+            let known = self.parts.insert(link.hash, CachedPart { tokens: link.tokens, used });
+            // Clients may send the same part with different lengths.
             self.tokens += u64::from(link.tokens);
             self.tokens -= known.map_or(0, |kept| u64::from(kept.tokens));
             self.uses.push_back((link.hash, used));
         }
-        self.drop_unused_longest(capacity_tokens);
+        self.evict_least_recently_used(capacity_tokens);
         if self.uses.len() > self.parts.len() * USES_PER_PART_MAX + USES_MIN {
             let parts = &self.parts;
             self.uses.retain(|(hash, used)| parts.get(hash).is_some_and(|kept| kept.used == *used));
         }
     }
 
-    fn drop_unused_longest(&mut self, capacity_tokens: u64) {
+    fn evict_least_recently_used(&mut self, capacity_tokens: u64) {
         while self.tokens > capacity_tokens {
             let Some((hash, used)) = self.uses.pop_front() else { return };
             let Some(kept) = self.parts.get(&hash) else { continue };
--- a/src/relay/quota.rs
+++ b/src/relay/quota.rs
@@ -1,4 +1,5 @@
-//! Whether a workspace may ask for more: credit that this gateway holds, or that it waits for.
+//! Enforces workspace quotas: admits requests against the credit granted to this gateway, and lets
+//! them wait for more credit.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -12,18 +13,19 @@
 use crate::policy::quota::{Admission, Credits};
 use crate::routing::{Quota, Workspace};
 
-/// When a request may come again that costs more than its workspace ever has at once: only another quota helps.
-const TOO_LARGE_AGAIN_MS: u64 = 10_000;
-/// How long a request waits for credit at most: some round trips to the leader.
-const WAIT_MS: u64 = 400;
+/// `Retry-After` of a request that costs more than its workspace can ever have at once; only a
+/// larger quota helps.
+const TOO_LARGE_RETRY_MS: u64 = 10_000;
+/// How long a request waits for credit at most: a few round trips to the leader.
+const CREDIT_WAIT_MS: u64 = 400;
 
-/// The credit of all workspaces, and who waits for it.
+/// The credit of all workspaces, and the requests that wait for credit.
 #[derive(Debug)]
 pub(super) struct QuotaGate {
     credits: Mutex<Credits>,
-    /// Credit came, or will not come.
+    /// Notified when credit was granted or cannot be requested any more.
     answered: Notify,
-    /// Requests wait for credit that nobody was asked for yet.
+    /// Notified when requests wait for credit that has not been requested yet.
     pub(super) wanted: Notify,
     clock: Clock,
 }
@@ -42,23 +44,23 @@
         self.credits.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that a server of the zone, or the leader, can be asked from now on.
+    /// Records that credit can be requested from a server of the zone or from the leader.
     pub(super) fn linked(&self) {
         self.credits().linked();
     }
 
-    /// Notes that nobody can be asked.
+    /// Records that credit cannot be requested from anyone.
     pub(super) fn unlinked(&self) {
         self.credits().unlinked();
         self.answered.notify_waiters();
     }
 
-    /// What to ask for now.
+    /// Returns the credit requests to send now.
     pub(super) fn take_asks(&self) -> Vec<CreditAsk> {
         self.credits().take_asks(self.clock.now_ms())
     }
 
-    /// Takes over what was granted.
+    /// Adds granted credit.
     pub(super) fn granted(&self, grants: Vec<CreditGrant>) {
         for CreditGrant { workspace, units, dry_ms, .. } in &grants {
             if *dry_ms > 0 {
@@ -76,16 +78,16 @@
         }
     }
 
-    /// Admits a request that costs so many units, at once or when credit for it has come.
+    /// Admits a request that costs `cost` units, at once or when credit for it was granted.
     async fn admit(&self, workspace: &Arc<str>, cost: u64) -> Result<(), NotSent> {
         let now_ms = self.clock.now_ms();
         let admission = self.credits().admit(now_ms, workspace, cost);
         if admission != Admission::Wait {
             return outcome(admission);
         }
-        let _waiting = Waiting::new(self, workspace, cost);
+        let _waiting = CreditWait::new(self, workspace, cost);
         self.wanted.notify_one();
-        let until_ms = now_ms + WAIT_MS;
+        let until_ms = now_ms + CREDIT_WAIT_MS;
         loop {
             let answered = self.answered.notified();
             tokio::pin!(answered);
@@ -95,7 +97,7 @@
                 return outcome(admission);
             }
             if self.clock.timeout_at(until_ms, answered).await.is_none() {
-                return Err(NotSent::QuotaUnknown { after_ms: WAIT_MS });
+                return Err(NotSent::QuotaUnknown { after_ms: CREDIT_WAIT_MS });
             }
         }
     }
@@ -109,27 +111,27 @@
     }
 }
 
-/// A request that waits for credit; it waits no longer when this is dropped.
-struct Waiting<'a> {
+/// A request that waits for credit, until it is dropped.
+struct CreditWait<'a> {
     gate: &'a QuotaGate,
     workspace: &'a Arc<str>,
     cost: u64,
 }
 
-impl<'a> Waiting<'a> {
+impl<'a> CreditWait<'a> {
     fn new(gate: &'a QuotaGate, workspace: &'a Arc<str>, cost: u64) -> Self {
         gate.credits().begin_wait(workspace, cost);
         Self { gate, workspace, cost }
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for CreditWait<'_> {
     fn drop(&mut self) {
         self.gate.credits().end_wait(self.workspace, self.cost);
     }
 }
 
-/// The units that a request used up; given back unless it was sent.
+/// The units that a request consumed; given back if it was not sent.
 pub(super) struct UsedCredit {
     relay: Arc<Relay>,
     workspace: Arc<str>,
@@ -137,10 +139,10 @@
 }
 
 impl UsedCredit {
-    /// Admits a request of `workspace` that names so many tokens, where it has a quota.
+    /// Admits a request of `workspace` that names `tokens` tokens.
     ///
     /// # Errors
-    /// It asked for more than its quota, or what it has left cannot be known.
+    /// / The request exceeds the quota, or the remaining quota is unknown.
     pub(super) async fn take(
         relay: &Arc<Relay>,
         workspace: &Workspace,
@@ -149,13 +151,13 @@
     ) -> Result<Self, NotSent> {
         let cost = quota.cost(tokens);
         if cost as f64 > quota.cost_max() {
-            return Err(NotSent::OverQuota { after_ms: TOO_LARGE_AGAIN_MS });
+            return Err(NotSent::OverQuota { after_ms: TOO_LARGE_RETRY_MS });
         }
         relay.quota.admit(&workspace.name, cost).await?;
         Ok(Self { relay: relay.clone(), workspace: workspace.name.clone(), cost })
     }
 
-    /// The request did not run and will not.
+    /// Gives the units back because the request did not run and will not.
     pub(super) fn give_back(&self) {
         let gate = &self.relay.quota;
         gate.credits().give_back(gate.clock.now_ms(), &self.workspace, self.cost);
--- a/src/relay/refusal.rs
+++ b/src/relay/refusal.rs
@@ -1,4 +1,4 @@
-//! Why a request gets no answer of an endpoint, and what its client is told.
+//! The reasons why a request is not sent to an endpoint, and the responses that tell the client.
 
 use http::StatusCode;
 use http::header::{HeaderValue, WWW_AUTHENTICATE};
@@ -6,17 +6,17 @@
 use crate::http::{Answer, answer};
 use crate::routing::KeyRefusal;
 
-/// Why nothing could be sent.
+/// Why a request was not sent.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum NotSent {
-    /// No endpoint could take it in time.
+    /// No endpoint could take the request in time.
     NoPlace(&'static str),
-    /// The rate limits of the endpoints that could take it are used up.
+    /// The rate limits of the endpoints that could take the request are used up.
     Limited {
         /// The time after which the client may retry.
         after_ms: u64,
     },
-    /// The endpoints that could take it asked for backoff.
+    /// The endpoints that could take the request asked for backoff.
     BackingOff {
         /// The time after which the client may retry.
         after_ms: u64,
@@ -25,38 +25,39 @@
     Late,
     /// The retry budget is used up.
     NoBudget,
-    /// Endpoints ended under requests like it.
+    /// Endpoints ended while they ran requests with the same content.
     Held {
-        /// When the client may come again.
+        /// The time after which the client may retry.
         after_ms: u64,
     },
-    /// Its workspace asks for more than its quota.
+    /// The workspace exceeds its quota.
     OverQuota {
-        /// When the client may come again.
+        /// The time after which the client may retry.
         after_ms: u64,
     },
-    /// What its workspace has left cannot be known.
+    /// The workspace's remaining quota is unknown.
     QuotaUnknown {
-        /// When the client may come again.
+        /// The time after which the client may retry.
         after_ms: u64,
     },
-    /// Which keys are valid is not known for certain.
+    /// This gateway's list of valid keys may be outdated.
     KeysUnknown {
-        /// When the client may come again.
+        /// The time after which the client may retry.
         after_ms: u64,
     },
-    /// Its key does not let it in.
+    /// The key is missing or not valid.
     Unauthorized(KeyRefusal),
 }
 
-/// Why a request has no answer.
+/// Why a request got no response.
 pub(super) enum Failure {
     NotSent(NotSent),
     Unknown(String),
 }
 
-/// When a client that was refused should come again; about what a load takes, or a few answers.
-pub(super) fn come_back_ms(reason: NotSent) -> u64 {
+/// The time after which a refused client should retry; about the time of a load, or of a few
+/// responses.
+pub(super) fn retry_after_ms(reason: NotSent) -> u64 {
     match reason {
         NotSent::NoPlace("weights are not loaded") => 350,
         NotSent::NoPlace(_) | NotSent::Late => 200,
@@ -71,31 +72,33 @@
     }
 }
 
-/// What the client of a request that was not sent is told.
+/// The response to the client of a request that was not sent.
 pub(super) fn refuse(reason: NotSent) -> Answer {
-    let after_ms = come_back_ms(reason);
+    let after_ms = retry_after_ms(reason);
     match reason {
-        NotSent::NoPlace(detail) => come_back(detail, after_ms),
-        NotSent::Limited { .. } => come_back("endpoints limit what they take", after_ms),
-        NotSent::BackingOff { .. } => come_back("endpoints asked for backoff", after_ms),
-        NotSent::Late => come_back("the deadline passed", after_ms),
-        NotSent::NoBudget => come_back("too many requests were sent again", after_ms),
-        NotSent::Held { .. } => come_back("endpoints ended under requests like this one", after_ms),
+        NotSent::NoPlace(detail) => refuse_unavailable(detail, after_ms),
+        NotSent::Limited { .. } => refuse_unavailable("endpoints limit what they take", after_ms),
+        NotSent::BackingOff { .. } => refuse_unavailable("endpoints asked for backoff", after_ms),
+        NotSent::Late => refuse_unavailable("the deadline passed", after_ms),
+        NotSent::NoBudget => refuse_unavailable("too many requests were sent again", after_ms),
+        NotSent::Held { .. } => {
+            refuse_unavailable("endpoints ended under requests like this one", after_ms)
+        }
         NotSent::OverQuota { .. } => {
             let detail = "the workspace asks for more than its quota";
-            later(StatusCode::TOO_MANY_REQUESTS, detail, after_ms)
+            refuse_with_retry(StatusCode::TOO_MANY_REQUESTS, detail, after_ms)
         }
         NotSent::QuotaUnknown { .. } => {
-            come_back("what is left of the workspace's quota is not known", after_ms)
+            refuse_unavailable("what is left of the workspace's quota is not known", after_ms)
         }
         NotSent::KeysUnknown { .. } => {
-            come_back("which keys are valid is not known for certain", after_ms)
+            refuse_unavailable("which keys are valid is not known for certain", after_ms)
         }
         NotSent::Unauthorized(refusal) => unauthorized(refusal),
     }
 }
 
-/// Tells what is wrong, and nothing of the key.
+/// States what is wrong without revealing anything about the key.
 fn unauthorized(refusal: KeyRefusal) -> Answer {
     let detail = match refusal {
         KeyRefusal::Missing => "a key is needed",
@@ -107,12 +110,12 @@
     refusal
 }
 
-/// A refusal: the request did not run and will not; the client may come again after a while.
-pub(super) fn come_back(detail: &str, after_ms: u64) -> Answer {
-    later(StatusCode::SERVICE_UNAVAILABLE, detail, after_ms)
+/// A 503 response with `Retry-After`: the request did not run and will not.
+pub(super) fn refuse_unavailable(detail: &str, after_ms: u64) -> Answer {
+    refuse_with_retry(StatusCode::SERVICE_UNAVAILABLE, detail, after_ms)
 }
 
-fn later(status: StatusCode, detail: &str, after_ms: u64) -> Answer {
+fn refuse_with_retry(status: StatusCode, detail: &str, after_ms: u64) -> Answer {
     let mut refusal = own_answer(status, detail);
     let seconds = format!("{}.{:03}", after_ms / 1_000, after_ms % 1_000);
     if let Ok(value) = seconds.parse() {
@@ -121,7 +124,7 @@
     refusal
 }
 
-/// An answer of the gateway's own.
+/// A response of the gateway itself.
 pub(super) fn own_answer(status: StatusCode, detail: &str) -> Answer {
     answer(status, "text/plain", detail.to_owned())
 }
--- a/src/relay/replaced.rs
+++ b/src/relay/replaced.rs
@@ -1,4 +1,4 @@
-//! Versions of weights that were replaced: until when requests are sent to them, and begin there.
+//! Limits how long requests are sent to, and may start on, weights versions that were replaced.
 
 use std::sync::Arc;
 
@@ -6,21 +6,23 @@
 use crate::message::{Holding, WeightsName};
 use crate::policy::versions::{BEGUN_PERCENT, KnownVersion, SENT_PERCENT, Versions};
 
-/// An endpoint that holds a version which is replaced.
+/// An endpoint that holds a replaced version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HeldOlder {
     /// The endpoint's incarnation.
     pub endpoint: Arc<str>,
-    /// The version that it holds.
+    /// The version that the endpoint holds.
     pub version: u64,
-    /// Requests of this gateway that it has not begun to answer, for whatever weights.
+    /// The number of this gateway's requests that the endpoint has not started to answer, for any
+    /// weights.
     pub unanswered: usize,
-    /// For how long the oldest of them that is not late has waited while nothing was answered.
+    /// How long the oldest of them that is not late has waited without any response from the
+    /// endpoint.
     pub silent_ms: u64,
 }
 
 impl Fleet {
-    /// Lets requests begin on a version for `within_ms` after it was replaced.
+    /// Allows requests to start on a version for `within_ms` after it was replaced.
     #[must_use]
     pub fn with_version_within(mut self, within_ms: u64) -> Self {
         self.versions = Versions::new(within_ms * SENT_PERCENT / 100);
@@ -28,32 +30,33 @@
         self
     }
 
-    /// Notes a version of weights that was named as the newest at `now_ms`, or since.
+    /// Records a version that was named the newest one at `now_ms` or later.
     pub fn set_newest(&mut self, now_ms: u64, name: WeightsName, version: u64) {
         self.versions.named(now_ms, name, version);
     }
 
-    /// Notes a version of weights that was named as the newest at some time before.
+    /// Records a version that was named the newest one at an unknown earlier time.
     pub fn learn_newest(&mut self, now_ms: u64, name: WeightsName, version: u64) {
         self.versions.learnt(now_ms, name, version);
     }
 
-    /// What is known of the versions of weights; nothing when they were never renewed.
+    /// The known versions of the weights; `None` if they were never renewed.
     pub fn known_version(&self, now_ms: u64, name: &WeightsName) -> Option<KnownVersion> {
         let known = self.versions.of(now_ms, name)?;
         Some(KnownVersion { due: self.version_due(now_ms, name), ..known })
     }
 
-    /// The oldest version that a request may still begin on; 0 while any will do.
+    /// The oldest version that a request may still start on; 0 if any version will do.
     ///
-    /// Base models are served as they are held: replacing one at an endpoint ends every adapter there,
-    /// and refusing the older one refuses every request for it.
+    /// Base models are served in any version: replacing the base model of an endpoint would end all
+    /// adapters there, and refusing an older version would refuse all requests for it.
     pub(super) fn version_due(&self, now_ms: u64, name: &WeightsName) -> u64 {
         if name.adapter.is_none() { 0 } else { self.versions.due(now_ms, name) }
     }
 
-    /// Until when a request that was sent to the version `held` may begin; nothing while no newer one is
-    /// known. A version of unknown age that is due may be too old already.
+    /// The time until which a request sent to the version `held` may start; `None` while no newer
+    /// version is known. If the newer version is due and of unknown age, the time is already over,
+    /// since `held` may be too old.
     pub fn begin_by_ms(&self, now_ms: u64, name: &WeightsName, held: u64) -> Option<u64> {
         if self.version_due(now_ms, name) > held {
             return Some(now_ms);
@@ -62,7 +65,7 @@
         Some(self.versions.due_at_ms(now_ms, name, held)? + self.begin_within_ms)
     }
 
-    /// What is under way at endpoints that hold `name` in a version older than `version`.
+    /// The requests in progress at endpoints that hold `name` in a version older than `version`.
     pub fn held_older(&self, now_ms: u64, name: &WeightsName, version: u64) -> Vec<HeldOlder> {
         let mut held_older = Vec::new();
         for (id, holding) in self.homes.get(name).into_iter().flatten() {
@@ -82,7 +85,7 @@
     }
 }
 
-/// For how long a request may still begin on a version once that is due.
+/// How long a request may still take to start on a version once a newer one is due.
 pub(super) fn begin_within_ms(version_within_ms: u64) -> u64 {
     version_within_ms * (BEGUN_PERCENT - SENT_PERCENT) / 100
 }
--- a/src/relay/report.rs
+++ b/src/relay/report.rs
@@ -1,10 +1,10 @@
-//! What is logged and counted of one request.
+//! Logs and counts the events of a request.
 
 use std::sync::Arc;
 
 use tracing::{info, warn};
 
-use super::attempt::Started;
+use super::attempt::StartedResponse;
 use super::border::{AnswerMeta, Backoff, RateLimit};
 use super::exchange::Exchange;
 use super::limits::LimitChange;
@@ -14,7 +14,7 @@
 use crate::policy::versions::KnownVersion;
 
 impl Relay {
-    /// Applies and logs the rate limit, the backoff and the announced shutdown in the answer to a
+    /// Applies and logs the rate limit, the backoff and the announced shutdown in the response to a
     /// request that was sent at `sent_at_ms`.
     pub(super) fn note_endpoint_state(
         &self,
@@ -22,7 +22,7 @@
         sent_at_ms: u64,
         head: &AnswerMeta,
     ) {
-        // The answer came from another incarnation or another service at the same address.
+        // The response came from another incarnation or another service at the same address.
         if head.misdirected {
             return;
         }
@@ -60,8 +60,8 @@
 }
 
 impl Exchange {
-    /// Notes that an endpoint has begun to answer.
-    pub(super) fn note_answered(&self, started: &Started) {
+    /// Logs and counts that an endpoint has started its response.
+    pub(super) fn note_answered(&self, started: &StartedResponse) {
         let now_ms = self.relay.now_ms();
         let after_ms = now_ms - self.started_ms;
         info!(
@@ -89,7 +89,8 @@
         }
     }
 
-    /// Endpoints tell the version of the base model only, so this goes by what they are known to hold.
+    /// Logs a response from an older version. Endpoints state only the version of the base model,
+    /// so the check uses the version that they are known to hold.
     fn note_version(&self, now_ms: u64, endpoint: &str, weights: &WeightsName, version: u64) {
         let Some(known) = self.relay.fleet().known_version(now_ms, weights) else { return };
         let KnownVersion { newest, known_for_ms, due } = known;
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Notes that the request was taken back from `endpoint`, where it had not begun.
+    /// Logs and counts that the request was withdrawn from `endpoint`, where it had not started.
     pub(super) fn note_taken_back(&self, endpoint: &str) {
         let now_ms = self.relay.now_ms();
         let Some(weights) = &self.meta.weights else { return };
--- a/src/relay/served.rs
+++ b/src/relay/served.rs
@@ -1,21 +1,23 @@
-//! Contents of requests that a gateway served lately.
+//! Remembers the contents of recently served requests.
 
 use std::collections::HashMap;
 
 use crate::message::RequestKey;
 
-/// Contents that are remembered, at least: a minute of a gateway's requests.
+/// The minimum number of contents that are remembered; a gateway serves about this many requests in
+/// a minute.
 const SERVED_MIN: usize = 8_192;
 
-/// When contents were served last; the ones served longest ago are forgotten.
+/// The time at which each content was last served, in two generations; a full generation replaces
+/// the older one.
 #[derive(Debug, Default)]
-pub(super) struct ServedLately {
+pub(super) struct RecentlyServed {
     newer: HashMap<RequestKey, u64>,
     older: HashMap<RequestKey, u64>,
 }
 
-impl ServedLately {
-    /// Notes that `key` was served.
+impl RecentlyServed {
+    /// Records that `key` was served.
     pub(super) fn note(&mut self, now_ms: u64, key: RequestKey) {
         if self.newer.len() >= SERVED_MIN && !self.newer.contains_key(&key) {
             self.older = std::mem::take(&mut self.newer);
@@ -23,7 +25,7 @@
         self.newer.insert(key, now_ms);
     }
 
-    /// How long ago `key` was served; none if it was not, or too long ago.
+    /// How long ago `key` was last served; `None` if it was not, or if that was forgotten.
     pub(super) fn ago_ms(&self, now_ms: u64, key: &RequestKey) -> Option<u32> {
         let served_at_ms = self.newer.get(key).or_else(|| self.older.get(key))?;
         u32::try_from(now_ms.saturating_sub(*served_at_ms)).ok()
--- a/src/relay/session.rs
+++ b/src/relay/session.rs
@@ -1,4 +1,5 @@
-//! Following the leader of control.
+//! Maintains the session with the control leader: finds the leader, applies its messages and sends
+//! it the gateway's own.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -21,34 +22,35 @@
 use crate::policy::counts;
 use crate::wire::{Channel, Peer, Receiver, Sender};
 
-/// How often a relay asks whether it holds everything.
+/// How often the gateway renews its session, which confirms that it has received all changes.
 const RENEW_MS: u64 = 300;
-/// A leader that was silent this long is given up: three renewals unanswered. With the search for
-/// another one it stays below the two seconds in which a change has to be in force.
-const SILENCE_MS: u64 = 900;
-/// A replica that served this long is preferred as if it had never failed.
-const SERVES_MS: u64 = 5_000;
-const PAUSE_MS: u64 = 20;
+/// A leader that has been silent for this long is given up, after three unanswered renewals.
+/// Including the search for the next leader, this stays below the two seconds within which a change
+/// must take effect.
+const LEADER_TIMEOUT_MS: u64 = 900;
+/// A replica that has served for this long is no longer avoided for earlier failures.
+const STABLE_AFTER_MS: u64 = 5_000;
+const RETRY_PAUSE_MS: u64 = 20;
 const OPEN_TIMEOUT_MS: u64 = 300;
-/// A replica that stands still takes connections and says nothing. One that serves says something well
-/// within this time, and whoever waits for longer there loses what is left of the orders' time.
-const FIRST_WORD_MS: u64 = 500;
+/// A replica that hangs accepts connections but sends nothing. A working one sends its first
+/// message well within this time; a longer wait would use up the remaining lease for orders.
+const FIRST_MESSAGE_TIMEOUT_MS: u64 = 500;
 
-/// The longest time from a leader's last word to a session with the next one, when
-/// `unreachable` replicas are tried on the way.
+/// The longest time from a leader's last message to a session with the next leader, if
+/// `unreachable` replicas are tried in between.
 pub fn reconnect_max_ms(unreachable: u64) -> u64 {
-    RENEW_MS + SILENCE_MS + unreachable * (OPEN_TIMEOUT_MS + PAUSE_MS) + PAUSE_MS
+    RENEW_MS + LEADER_TIMEOUT_MS + unreachable * (OPEN_TIMEOUT_MS + RETRY_PAUSE_MS) + RETRY_PAUSE_MS
 }
 
-/// What waits for a session to be told.
+/// Messages that wait to be sent to the leader.
 pub(super) struct Queues {
-    /// Weights that are wanted.
+    /// Weights that requests need.
     pub(super) needs: mpsc::UnboundedReceiver<AdapterNeed>,
-    /// Anything else, in order.
-    pub(super) told: mpsc::UnboundedReceiver<SessionUp>,
+    /// All other messages, in order.
+    pub(super) outgoing: mpsc::UnboundedReceiver<SessionUp>,
 }
 
-/// Follows whoever leads, until the task is dropped.
+/// Follows the current leader until the task is dropped.
 pub(super) async fn run(
     relay: Arc<Relay>,
     boot_id: u64,
@@ -67,13 +69,13 @@
         }
         relay.fleet().forget_loads(relay.now_ms());
         relay.quota.unlinked();
-        tokio::time::sleep(Duration::from_millis(PAUSE_MS)).await;
+        tokio::time::sleep(Duration::from_millis(RETRY_PAUSE_MS)).await;
     }
 }
 
 type Streams = (Sender<SessionUp>, Receiver<SessionDown>);
 
-/// Follows the replica at `address`; returns where the leader may be when it is another one.
+/// Follows the replica at `address`; returns the address of the leader if that is another replica.
 async fn follow(
     relay: &Arc<Relay>,
     boot_id: u64,
@@ -100,9 +102,9 @@
     let mut renewals = interval(Duration::from_millis(RENEW_MS));
     renewals.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut counts_every_ms = counts::period_ms(1) as u32;
-    let mut reports = reports_every(counts_every_ms);
+    let mut reports = report_timer(counts_every_ms);
     let opened_at_ms = relay.now_ms();
-    let mut heard_at_ms = opened_at_ms;
+    let mut last_message_at_ms = opened_at_ms;
     let mut is_welcome = false;
     let mut welcome_at_ms = 0;
     let mut staged = Vec::new();
@@ -110,7 +112,7 @@
     loop {
         tokio::select! {
             down = receiver.next() => {
-                heard_at_ms = relay.now_ms().max(opened_at_ms + 1);
+                last_message_at_ms = relay.now_ms().max(opened_at_ms + 1);
                 let Some(down) = down? else {
                     return Err(Error::failed("follow", address.to_string(), "the session ended"));
                 };
@@ -119,10 +121,10 @@
                     SessionDown::Expired => return Ok(Some(address)),
                     SessionDown::Welcome { .. } => {
                         let attempts = search.found();
-                        welcome_at_ms = heard_at_ms;
+                        welcome_at_ms = last_message_at_ms;
                         info!(event = "control_regained", leader = %address, attempts);
                         is_welcome = true;
-                        relay.fleet().forget_uses_told();
+                        relay.fleet().request_full_uses();
                         relay.quota.linked();
                         let loads = relay.fleet().all_loads();
                         let (used, failing) = (Vec::new(), Vec::new());
@@ -131,31 +133,32 @@
                         if !crashes.is_empty() {
                             send(&mut sender, &SessionUp::Crashes(crashes)).await?;
                         }
-                        // Routes and orders wait for the first confirmation.
+                        // The gateway serves requests and sends orders only after its first
+                        // confirmed renewal.
                         renewals.reset_immediately();
                     }
                     SessionDown::Group(group) => {
                         relay.set_gateways(group.gateways);
                         if group.counts_every_ms != counts_every_ms {
                             counts_every_ms = group.counts_every_ms;
-                            reports = reports_every(counts_every_ms);
+                            reports = report_timer(counts_every_ms);
                         }
                         search.set_group(group);
                     }
                     SessionDown::Order(order) => {
-                        let give = give_order(relay.clone(), engines.clone(), order);
+                        let give = execute_order(relay.clone(), engines.clone(), order);
                         let results = results.clone();
                         tokio::spawn(async move {
-                            // Nobody waits for it once the session has ended.
+                            // The receiver is gone if the session has ended.
                             let _ = results.send(give.await);
                         });
                     }
-                    down => take(relay, down, &mut staged),
+                    down => apply_message(relay, down, &mut staged),
                 }
             }
-            Some(up) = queues.told.recv(), if is_welcome => send(&mut sender, &up).await?,
+            Some(up) = queues.outgoing.recv(), if is_welcome => send(&mut sender, &up).await?,
             Some(need) = queues.needs.recv(), if is_welcome => {
-                let needs = gather(need, &mut queues.needs);
+                let needs = merge_needs(need, &mut queues.needs);
                 send(&mut sender, &SessionUp::Needs(needs)).await?;
             }
             () = relay.quota.wanted.notified(), if is_welcome => {
@@ -171,19 +174,19 @@
                 }
                 ask_for_credit(relay, &mut sender).await?;
             }
-            () = relay.clock.sleep_until(opened_at_ms + FIRST_WORD_MS), if heard_at_ms == opened_at_ms => {
-                return Err(Error::timeout("open session", address.to_string(), FIRST_WORD_MS));
+            () = relay.clock.sleep_until(opened_at_ms + FIRST_MESSAGE_TIMEOUT_MS), if last_message_at_ms == opened_at_ms => {
+                return Err(Error::timeout("open session", address.to_string(), FIRST_MESSAGE_TIMEOUT_MS));
             }
             _ = renewals.tick() => {
                 let now_ms = relay.now_ms();
-                if now_ms > heard_at_ms + SILENCE_MS {
-                    return Err(Error::timeout("follow", address.to_string(), SILENCE_MS));
+                if now_ms > last_message_at_ms + LEADER_TIMEOUT_MS {
+                    return Err(Error::timeout("follow", address.to_string(), LEADER_TIMEOUT_MS));
                 }
                 if is_welcome && let Some(near) = search.better_than(now_ms, address) {
                     debug!(event = "control_nearer", from = %address, to = %near);
                     return Ok(Some(near));
                 }
-                if is_welcome && welcome_at_ms + SERVES_MS <= now_ms {
+                if is_welcome && welcome_at_ms + STABLE_AFTER_MS <= now_ms {
                     search.serves(address);
                 }
                 if is_welcome {
@@ -195,7 +198,7 @@
     }
 }
 
-/// Asks for credit that requests wait for, or will.
+/// Requests the credit that requests wait for, or will soon need.
 async fn ask_for_credit(relay: &Relay, sender: &mut Sender<SessionUp>) -> Result<()> {
     let asks = relay.quota.take_asks();
     if asks.is_empty() {
@@ -204,14 +207,14 @@
     send(sender, &SessionUp::CreditAsks(asks)).await
 }
 
-/// The times at which a relay tells what it has under way, when that changed.
-fn reports_every(period_ms: u32) -> Interval {
+/// Returns the timer for reporting changes of the gateway's load.
+fn report_timer(period_ms: u32) -> Interval {
     let mut reports = interval(Duration::from_millis(u64::from(period_ms.max(1))));
     reports.set_missed_tick_behavior(MissedTickBehavior::Delay);
     reports
 }
 
-async fn give_order(
+async fn execute_order(
     relay: Arc<Relay>,
     engines: Arc<dyn EngineClient>,
     order: EngineOrder,
@@ -221,8 +224,8 @@
     OrderResult { number, endpoint, kind, outcome }
 }
 
-/// Everything that waits, with one entry for each of the weights.
-fn gather(
+/// Drains the queue and merges the needs for the same weights.
+fn merge_needs(
     first: AdapterNeed,
     needs: &mut mpsc::UnboundedReceiver<AdapterNeed>,
 ) -> Vec<AdapterNeed> {
@@ -238,7 +241,7 @@
     by_weights.into_values().collect()
 }
 
-fn take(relay: &Arc<Relay>, down: SessionDown, staged: &mut Vec<Change>) {
+fn apply_message(relay: &Arc<Relay>, down: SessionDown, staged: &mut Vec<Change>) {
     match down {
         SessionDown::Changes { reset, complete, changes, .. } => {
             if reset {
@@ -249,8 +252,8 @@
                 relay.follow(reset, std::mem::take(staged));
             }
         }
-        SessionDown::Renewed { sent_at_ms, .. } => relay.confirmed(sent_at_ms),
-        SessionDown::Placed { reset, placed } => relay.placed(reset, placed),
+        SessionDown::Renewed { sent_at_ms, .. } => relay.note_confirmed(sent_at_ms),
+        SessionDown::Placed { reset, placed } => relay.apply_placements(reset, placed),
         SessionDown::Loads(loads) => relay.fleet().note_loads(relay.now_ms(), loads),
         SessionDown::Credit(grants) => relay.quota.granted(grants),
         SessionDown::Welcome { .. }
--- a/src/relay/shared.rs
+++ b/src/relay/shared.rs
@@ -1,4 +1,5 @@
-//! What all requests of a relay share: routes, endpoints, connections, budgets, the order lease.
+//! The state that all requests of a relay share: routes, endpoints, connections, retry budgets and
+//! the order lease.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
@@ -22,24 +23,24 @@
 use crate::routing::RouteTable;
 use crate::settings::RelaySettings;
 
-/// A configuration that was confirmed this recently may say that there is no such route.
-const CONFIRMED_MS: u64 = 2_000;
-/// The part of the time within which a revoked key must be out of use that keys are taken for valid without a
-/// confirmation: clocks run at different rates.
+/// How long after a confirmed renewal the known state counts as current, for example to answer that
+/// no route matches.
+const CONFIRMATION_VALID_MS: u64 = 2_000;
+/// How long keys are accepted without a confirmation, in percent of the time within which a revoked
+/// key must stop working; less than 100 because clocks run at different rates.
 const KEY_LEASE_PERCENT: u64 = 95;
-/// Changes that come together and are logged one by one; a gateway that starts is told thousands.
-const LOGGED_MAX: usize = 200;
+/// The number of changes in one message up to which each is logged; a gateway that starts receives
+/// thousands.
+const LOGGED_CHANGES_MAX: usize = 200;
 
-/// What all requests of a relay share.
+/// The state that all requests of a relay share.
 pub struct Relay {
-    /// The settings.
     pub settings: RelaySettings,
-    /// Counters.
     pub metrics: Metrics,
-    pub(super) border: Arc<dyn PlatformHeaders>,
+    pub(super) platform_headers: Arc<dyn PlatformHeaders>,
     pub(super) pool: Pool,
     pub(super) changed: Notify,
-    /// A newer version of some weights became known.
+    /// Notified when a newer version of weights becomes known.
     pub(super) version_known: Notify,
     pub(super) order_lease: OrderLease,
     pub(super) quota: QuotaGate,
@@ -56,10 +57,10 @@
 }
 
 impl Relay {
-    /// A relay that knows nothing yet.
+    /// Creates the state of a relay that has no routes or endpoints yet.
     pub(super) fn new(
         settings: RelaySettings,
-        border: Arc<dyn PlatformHeaders>,
+        platform_headers: Arc<dyn PlatformHeaders>,
         metrics: Metrics,
         needs: mpsc::UnboundedSender<AdapterNeed>,
         crashes: CrashWatch,
@@ -71,7 +72,7 @@
         Self {
             settings,
             metrics,
-            border,
+            platform_headers,
             pool: Pool::new(clock),
             changed: Notify::new(),
             version_known: Notify::new(),
@@ -94,10 +95,10 @@
         self.clock.now_ms()
     }
 
-    /// Asks whether an endpoint that has been silent for long is still there.
-    pub(super) fn ask_silent(&self, endpoint: &str) {
+    /// Probes an endpoint that has been silent for long.
+    pub(super) fn probe_silent(&self, endpoint: &str) {
         let Some(known) = self.fleet().endpoint(endpoint) else { return };
-        self.crashes.ask_silent(self.now_ms(), known);
+        self.crashes.probe_silent(self.now_ms(), known);
     }
 
     pub(super) fn fleet(&self) -> MutexGuard<'_, Fleet> {
@@ -108,42 +109,44 @@
         self.gateways.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The routes in force.
+    /// The routing table in force.
     pub fn table(&self) -> Arc<RouteTable> {
         self.table.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
     pub(super) fn set_gateways(&self, gateways: u32) {
-        self.gateways().told(self.now_ms(), gateways);
+        self.gateways().set_reported(self.now_ms(), gateways);
         self.fleet().set_gateways(self.now_ms(), gateways);
     }
 
-    /// Notes that what is known is complete as of when the renewal was sent.
-    pub(super) fn confirmed(&self, sent_at_ms: u64) {
+    /// Records that this gateway has received all changes up to the time the confirmed renewal was
+    /// sent.
+    pub(super) fn note_confirmed(&self, sent_at_ms: u64) {
         let before_ms = self.confirmed_at_ms.fetch_max(sent_at_ms.max(1), Ordering::Relaxed);
         if before_ms == 0 {
             self.changed.notify_waiters();
         }
         self.order_lease.confirm(sent_at_ms);
-        self.gateways().confirmed(sent_at_ms);
-        self.fleet().confirmed(sent_at_ms);
+        self.gateways().note_confirmed(sent_at_ms);
+        self.fleet().note_confirmed(sent_at_ms);
     }
 
-    /// True once what is known was confirmed to be the newest, however long ago.
-    pub(super) fn was_confirmed(&self) -> bool {
+    /// True once any renewal was confirmed, however long ago.
+    pub(super) fn has_been_confirmed(&self) -> bool {
         self.confirmed_at_ms.load(Ordering::Relaxed) > 0
     }
 
     pub(super) fn is_confirmed(&self, now_ms: u64) -> bool {
         let confirmed_at_ms = self.confirmed_at_ms.load(Ordering::Relaxed);
-        confirmed_at_ms > 0 && confirmed_at_ms + CONFIRMED_MS > now_ms
+        confirmed_at_ms > 0 && confirmed_at_ms + CONFIRMATION_VALID_MS > now_ms
     }
 
-    /// How much longer keys may be taken for valid as they are known; nothing when none may.
+    /// How much longer the known keys may be accepted; 0 if not at all.
     ///
-    /// A key that was taken away is known to be gone by the first renewal sent after that which the leader
-    /// confirms. So without confirmations no key is taken for valid longer than a revoked one may be, by a clock
-    /// that goes on while the process is suspended.
+    /// The gateway knows of a revoked key by the first confirmed renewal that it sent after the
+    /// revocation. So without confirmations it accepts keys for less than the time within which a
+    /// revoked key must stop working, measured by a clock that keeps running while the process is
+    /// suspended.
     pub(super) fn keys_valid_ms(&self, now_ms: u64) -> u64 {
         let Some(within_ms) = self.settings.revoked_within_ms else { return u64::MAX };
         let confirmed_at_ms = self.confirmed_at_ms.load(Ordering::Relaxed);
@@ -154,11 +157,11 @@
         (confirmed_at_ms + lease_ms).saturating_sub(now_ms)
     }
 
-    /// True once requests can be served and until the process is about to stop.
+    /// True from the time requests can be served until a planned stop begins.
     pub fn is_ready(&self) -> bool {
         let table = self.table();
         let serves = !table.serves_keyed_only() || self.keys_valid_ms(self.now_ms()) > 0;
-        table.version() > 0 && self.was_confirmed() && serves && !self.is_stopping()
+        table.version() > 0 && self.has_been_confirmed() && serves && !self.is_stopping()
     }
 
     /// Starts a planned stop.
@@ -171,21 +174,23 @@
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Requests whose answers are not whole yet.
+    /// The number of requests whose responses are not complete yet.
     pub fn in_progress(&self) -> u32 {
         self.in_progress.load(Ordering::Relaxed)
     }
 
-    /// Takes changes over that the leader told.
+    /// Applies changes sent by the leader; `reset` drops the endpoints and standings that they do
+    /// not name.
     pub(super) fn follow(&self, reset: bool, changes: Vec<Change>) {
         let now_ms = self.now_ms();
-        // A version that is told now was accepted after the last confirmed renewal was sent, perhaps
-        // right after: one that comes late on its way must not count as just named.
+        // A version that arrives now was accepted after the last confirmed renewal was sent,
+        // perhaps right after it. If the message was delayed, the version must not count as named
+        // only now.
         let named_since_ms = now_ms.min(self.confirmed_at_ms.load(Ordering::Relaxed));
         let mut names_version = false;
         let mut ids = Vec::new();
         let mut requests = HashSet::new();
-        let is_long = changes.len() > LOGGED_MAX;
+        let is_long = changes.len() > LOGGED_CHANGES_MAX;
         if is_long {
             info!(event = "changes_known", reset, changes = changes.len());
         }
@@ -265,20 +270,20 @@
         *known = Arc::new(table);
     }
 
-    pub(super) fn placed(&self, reset: bool, placed: Vec<Placed>) {
+    pub(super) fn apply_placements(&self, reset: bool, placed: Vec<Placed>) {
         self.fleet().place(reset, placed);
         self.changed.notify_waiters();
     }
 
-    /// Asks the leader for weights that no endpoint holds, or too few.
-    pub(super) fn ask_for(&self, need: AdapterNeed) {
+    /// Asks the leader to load weights that no endpoint holds, or too few.
+    pub(super) fn request_weights(&self, need: AdapterNeed) {
         // The receiver lives as long as the process.
         let _ = self.needs.send(need);
     }
 
-    /// Takes one send beyond the first for `request` out of the budget of `service`.
-    pub(super) fn may_retry(&self, now_ms: u64, request: &str, service: &Arc<str>) -> bool {
-        let gateways = self.gateways().most(now_ms);
+    /// Takes a retry for `request` out of the budget of `service`; returns false if none is left.
+    pub(super) fn take_retry(&self, now_ms: u64, request: &str, service: &Arc<str>) -> bool {
+        let gateways = self.gateways().divisor(now_ms);
         let (allowed, used) = self.budget(service, |budget| {
             let allowed = gateways.is_some_and(|gateways| budget.take(now_ms, gateways));
             (allowed, budget.in_window())
@@ -305,18 +310,19 @@
     pub(super) fn budget<T>(
         &self,
         service: &Arc<str>,
-        use_it: impl FnOnce(&mut RetryBudget) -> T,
+        update: impl FnOnce(&mut RetryBudget) -> T,
     ) -> T {
         let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
         let retry = self.settings.retry;
         let budget = budgets
             .entry(service.clone())
             .or_insert_with(|| RetryBudget::new(retry.ratio, retry.slack, retry.window_ms));
-        use_it(budget)
+        update(budget)
     }
 }
 
-/// Tells requests that wait long at an endpoint from orders and versions that come late.
+/// Logs the requests in progress on replaced versions. The lines show whether such a request waited
+/// long at its endpoint, or whether the order or the version arrived late.
 fn log_held_older(fleet: &Fleet, now_ms: u64, name: &WeightsName, version: u64) {
     for held in fleet.held_older(now_ms, name, version) {
         info!(
--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -1,4 +1,4 @@
-//! Passing a stream of events on, and taking it up elsewhere when it breaks.
+//! Forwards event streams, and resumes a broken stream at another endpoint.
 
 use bytes::Bytes;
 use futures_util::stream;
@@ -8,17 +8,17 @@
 use hyper::body::{Body, Frame, Incoming};
 use tracing::{info, warn};
 
-use super::attempt::{Flight, Started};
+use super::attempt::{InFlightRequest, StartedResponse};
 use super::events::EventSplitter;
-use super::exchange::{ENDED, Exchange, InProgress, remove_connection_headers};
+use super::exchange::{ENDPOINT_ENDED, Exchange, InProgress, remove_connection_headers};
 use super::pool::Connection;
 use crate::clock::Clock;
 use crate::error::{Error, Result};
 use crate::http::{Answer, AnswerBody};
 use crate::routing::Repeat;
 
-/// A stream that has started.
-struct Running {
+/// A stream that is being forwarded.
+struct ForwardedStream {
     exchange: Exchange,
     endpoint: Upstream,
     events: Option<EventSplitter>,
@@ -29,11 +29,11 @@
     head: Parts,
     body: Incoming,
     connection: Connection,
-    flight: Flight,
+    flight: InFlightRequest,
 }
 
 impl Upstream {
-    fn new(started: Started) -> Self {
+    fn new(started: StartedResponse) -> Self {
         let (head, body) = started.response.into_parts();
         Self { head, body, connection: started.connection, flight: started.flight }
     }
@@ -45,10 +45,10 @@
             let frame = tokio::select! {
                 biased;
                 frame = clock.timeout_at(until_ms, self.body.frame()) => frame,
-                () = self.flight.ended() => {
-                    return Err(Error::failed("read stream", peer.clone(), ENDED));
+                () = self.flight.wait_for_end() => {
+                    return Err(Error::failed("read stream", peer.clone(), ENDPOINT_ENDED));
                 }
-                never = self.flight.ask_while_silent() => match never {},
+                never = self.flight.probe_while_silent() => match never {},
             };
             let frame =
                 frame.ok_or_else(|| Error::timeout("read stream", peer.clone(), left_ms))?;
@@ -61,8 +61,8 @@
     }
 }
 
-/// The answer to a request whose endpoint has begun to stream.
-pub(super) fn answer(exchange: Exchange, started: Started) -> Answer {
+/// The response to a request whose endpoint has started to stream.
+pub(super) fn answer(exchange: Exchange, started: StartedResponse) -> Answer {
     let endpoint = Upstream::new(started);
     let can_resume = exchange.chosen.route.repeat == Repeat::Resume;
     let events = can_resume.then(|| EventSplitter::new(exchange.meta.last_event));
@@ -71,20 +71,22 @@
     if can_resume {
         head.headers.remove(CONTENT_LENGTH);
     }
-    let running = Running { exchange, endpoint, events };
+    let running = ForwardedStream { exchange, endpoint, events };
     let body = StreamBody::new(stream::unfold(Some(running), next_frame));
     Answer::from_parts(head, body.boxed())
 }
 
 type FrameResult = Result<Frame<Bytes>>;
 
-async fn next_frame(running: Option<Running>) -> Option<(FrameResult, Option<Running>)> {
+async fn next_frame(
+    running: Option<ForwardedStream>,
+) -> Option<(FrameResult, Option<ForwardedStream>)> {
     let mut running = running?;
     loop {
         let (clock, ends_at_ms) = (running.exchange.relay.clock, running.exchange.ends_at_ms);
         match running.endpoint.next(clock, ends_at_ms).await {
             Ok(Some(data)) => {
-                running.exchange.heard_at_ms = clock.now_ms();
+                running.exchange.last_data_at_ms = clock.now_ms();
                 let Some(events) = &mut running.events else {
                     return Some((Ok(Frame::data(data)), Some(running)));
                 };
@@ -102,8 +104,8 @@
     }
 }
 
-fn finish(running: Running) -> Option<(FrameResult, Option<Running>)> {
-    let Running { exchange, endpoint, events } = running;
+fn finish(running: ForwardedStream) -> Option<(FrameResult, Option<ForwardedStream>)> {
+    let ForwardedStream { exchange, endpoint, events } = running;
     let Upstream { head, connection, flight, .. } = endpoint;
     let after_ms = exchange.relay.now_ms() - exchange.started_ms;
     info!(
@@ -116,13 +118,13 @@
     if head.status.is_success() {
         exchange.note_served();
     }
-    let rest = events.and_then(|mut events| events.take_rest())?;
+    let rest = events.and_then(|mut events| events.take_remainder())?;
     Some((Ok(Frame::data(rest)), None))
 }
 
-/// Takes a broken stream up at another endpoint, where that may be done.
-async fn resume(running: Running, error: &Error) -> Result<Running> {
-    let Running { mut exchange, endpoint, events } = running;
+/// Resumes a broken stream at another endpoint, if that is allowed.
+async fn resume(running: ForwardedStream, error: &Error) -> Result<ForwardedStream> {
+    let ForwardedStream { mut exchange, endpoint, events } = running;
     let id = exchange.meta.id.clone();
     let peer = endpoint.flight.endpoint.clone();
     let end = endpoint.flight.end();
@@ -141,7 +143,7 @@
     let Some(mut events) = events else { return Err(broken()) };
     events.drop_partial();
     let last_event = events.last_event();
-    if !events.can_be_taken_up() || !exchange.may_give_again() {
+    if !events.is_at_event_boundary() || !exchange.can_send_again() {
         return Err(broken());
     }
     if end.is_some() {
@@ -158,7 +160,7 @@
     if !started.response.status().is_success() {
         return Err(broken());
     }
-    Ok(Running { exchange, endpoint: Upstream::new(started), events: Some(events) })
+    Ok(ForwardedStream { exchange, endpoint: Upstream::new(started), events: Some(events) })
 }
 
 /// A body that keeps `counted` until it has ended.
--- a/src/relay/trial.rs
+++ b/src/relay/trial.rs
@@ -1,4 +1,4 @@
-//! Trials of requests that were held, from the wait for one to its outcome.
+//! Trials of held requests: guards for the wait for a trial and for its outcome.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -8,7 +8,8 @@
 
 /// The leader's permission to send a held request once.
 ///
-/// Returned when it is dropped without an outcome: until the leader knows one, all other tries are refused.
+/// A trial that is dropped without an outcome is returned to the leader: until the leader knows the
+/// outcome, all other attempts of the request are refused.
 pub(super) struct Trial {
     relay: Arc<Relay>,
     key: RequestKey,
@@ -21,8 +22,9 @@
         Self { relay, key, has_outcome: AtomicBool::new(false) }
     }
 
-    /// Notes that the leader learns the outcome: the request was served, or broken off.
-    pub(super) fn had_outcome(&self) {
+    /// Records that the leader will learn the outcome: the request was served, or its response
+    /// broke off.
+    pub(super) fn mark_outcome_known(&self) {
         self.has_outcome.store(true, Ordering::Relaxed);
     }
 }
@@ -35,14 +37,13 @@
     }
 }
 
-/// A request's wait for a trial, counted until it is dropped.
+/// Counts a request as waiting for a trial until it is dropped.
 pub(super) struct TrialWait<'a> {
     relay: &'a Relay,
     key: RequestKey,
 }
 
 impl<'a> TrialWait<'a> {
-    /// A wait that begins.
     pub(super) fn new(relay: &'a Relay, key: RequestKey) -> Self {
         relay.crashes.standings().begin_wait(key);
         Self { relay, key }
--- a/src/relay/uses.rs
+++ b/src/relay/uses.rs
@@ -1,36 +1,36 @@
-//! Which weights this gateway's requests use at which endpoints, as the leader is told.
+//! Records which weights this gateway's requests use at which endpoints, for reports to the leader.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
 use crate::message::{WeightsName, WeightsUse};
 
-/// How often the leader is reminded of everything that is in use.
-const USES_TOLD_EVERY_MS: u64 = 1_000;
+/// How often all uses are reported, changed or not.
+const FULL_REPORT_INTERVAL_MS: u64 = 1_000;
 
-/// An endpoint and the weights that requests use there.
+/// An endpoint and the weights in use there.
 type UseKey = (Arc<str>, WeightsName);
 
 /// The requests that use some weights at an endpoint.
 #[derive(Debug, Clone, Copy, Default)]
 struct Use {
     under_way: u32,
-    /// Sent since the last report.
+    /// The number of requests sent since the last report.
     sent: u32,
-    /// How long their prompts take to be read.
+    /// The reading time of the prompts sent since the last report.
     reading_ms: f64,
     changed: bool,
 }
 
-/// All uses through one gateway.
+/// The weights in use by all requests of one gateway.
 #[derive(Debug, Default)]
-pub(super) struct Uses {
+pub(super) struct WeightsUses {
     by_endpoint: HashMap<UseKey, Use>,
-    told_at_ms: u64,
+    full_report_at_ms: u64,
 }
 
-impl Uses {
-    /// Counts a request whose prompt takes `reading_ms` to be read.
+impl WeightsUses {
+    /// Counts a request whose prompt takes `reading_ms` to read.
     pub(super) fn start(&mut self, endpoint: &Arc<str>, weights: &WeightsName, reading_ms: f64) {
         let use_here = self.by_endpoint.entry((endpoint.clone(), weights.clone())).or_default();
         use_here.under_way += 1;
@@ -47,16 +47,16 @@
         use_here.changed |= use_here.under_way == 0;
     }
 
-    /// What changed since the last call; now and then everything, since the leader forgets what it is
-    /// not reminded of.
+    /// Returns the changes since the last call; every [`FULL_REPORT_INTERVAL_MS`] all uses, since
+    /// the leader forgets uses that are not reported again.
     pub(super) fn take(&mut self, now_ms: u64) -> Vec<WeightsUse> {
-        let tells_all = self.told_at_ms + USES_TOLD_EVERY_MS <= now_ms;
-        if tells_all {
-            self.told_at_ms = now_ms;
+        let is_full_report = self.full_report_at_ms + FULL_REPORT_INTERVAL_MS <= now_ms;
+        if is_full_report {
+            self.full_report_at_ms = now_ms;
         }
         let mut used = Vec::new();
         for ((endpoint, name), use_here) in &mut self.by_endpoint {
-            if !use_here.changed && !tells_all {
+            if !use_here.changed && !is_full_report {
                 continue;
             }
             used.push(WeightsUse {
@@ -74,8 +74,8 @@
         used
     }
 
-    /// Tells everything the next time, to a leader that knows nothing.
-    pub(super) fn forget_told(&mut self) {
-        self.told_at_ms = 0;
+    /// Makes the next report include all uses, for a leader that knows none of them.
+    pub(super) fn force_full_report(&mut self) {
+        self.full_report_at_ms = 0;
     }
 }
