--- a/src/relay/waiting.rs
+++ b/src/relay/waiting.rs
@@ -1,19 +1,21 @@
-//! How long a request waits at an engine before its first token.
+//! Estimates how long a request waits at an engine before its first token.
 //!
-//! Engines read prompts one after the other, so that one long prompt holds up every request that
-//! comes after it. What waits there is known from what was sent and not answered yet.
-
-/// What reading a token takes until answers showed it; engines of the users' deployments take this.
-const FIRST_TOKEN_US: f64 = 26.0;
-/// Prompts below this tell more of links and batches than of reading.
+//! Engines read prompts one after another, so a long prompt delays all requests behind it. The wait
+//! is estimated from the requests that were sent and not answered yet.
+
+/// The initial estimate of the time to read a token; it matches the engines of the users'
+/// deployments.
+const INITIAL_TOKEN_US: f64 = 26.0;
+/// Responses to shorter prompts are ignored: their latency depends more on links and batches than
+/// on reading.
 const PACE_PROMPT_MIN_TOKENS: u32 = 500;
-/// Which share of the answers came faster than the pace: most wait a little behind others, so the
-/// faster ones tell it.
+/// The quantile of the response times per token that the pace tracks: most requests wait a little
+/// behind others, so the faster responses show the reading time.
 const PACE_QUANTILE: f64 = 0.3;
-/// How far one answer moves the pace.
+/// How far one response moves the pace.
 const PACE_STEP: f64 = 0.05;
 
-/// How fast engines read prompts, learnt from answers.
+/// The speed at which engines read prompts, learned from responses.
 #[derive(Debug, Clone, Copy)]
 pub struct ReadingPace {
     token_us: f64,
@@ -21,12 +23,12 @@
 }
 
 impl ReadingPace {
-    /// The pace before any answer.
+    /// Creates the initial estimate.
     pub fn new() -> Self {
-        Self { token_us: FIRST_TOKEN_US, noted: 0 }
+        Self { token_us: INITIAL_TOKEN_US, noted: 0 }
     }
 
-    /// Takes in that a prompt of `tokens` had its first token after `took_ms`.
+    /// Learns from a prompt of `tokens` whose first token came after `took_ms`.
     pub fn note(&mut self, tokens: u32, took_ms: u64) {
         if tokens < PACE_PROMPT_MIN_TOKENS {
             return;
@@ -41,17 +43,17 @@
         self.token_us *= factor;
     }
 
-    /// A pace that starts from another one.
+    /// Creates a pace that starts from the estimate of another one.
     pub fn with_start(start: Self) -> Self {
         Self { token_us: start.token_us, noted: 0 }
     }
 
-    /// How many answers it was learnt from.
+    /// The number of responses that the pace was learned from.
     pub fn noted(&self) -> u32 {
         self.noted
     }
 
-    /// How long `tokens` take.
+    /// The time to read `tokens`.
     pub fn reading_ms(&self, tokens: u32) -> f64 {
         f64::from(tokens) * self.token_us / 1_000.0
     }
@@ -66,15 +68,15 @@
 /// The prompt of a request that is sent.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Prompt {
-    /// Its tokens.
+    /// The length of the prompt.
     pub tokens: u32,
-    /// How long the endpoint reads it.
+    /// The estimated time to read the prompt.
     pub reading_ms: f64,
-    /// True when the request is late whatever comes.
+    /// True if the request will miss its latency objective in any case.
     pub is_late: bool,
 }
 
-/// One request that was sent.
+/// A request that was sent and not answered yet.
 #[derive(Debug, Clone, Copy)]
 struct Unanswered {
     number: u64,
@@ -84,8 +86,8 @@
     is_late: bool,
 }
 
-/// How long an endpoint reads the prompts that it has not read: those of requests that may still be
-/// answered in time, and the late ones, which it reads after them.
+/// The time that an endpoint needs to read the prompts that it has not read yet. It reads late
+/// requests after all others.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct UnreadMs {
     /// For requests that may be answered in time.
@@ -94,59 +96,59 @@
     pub late: f64,
 }
 
-/// The requests that one endpoint has not begun to answer.
+/// The requests that one endpoint has not started to answer.
 #[derive(Debug, Default)]
-pub struct Waiting {
+pub struct UnansweredRequests {
     own: Vec<Unanswered>,
     others: UnreadMs,
     answered_at_ms: u64,
 }
 
-impl Waiting {
-    /// Nothing waits.
+impl UnansweredRequests {
+    /// Creates an empty set.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Counts a request that is sent under `number`.
+    /// Adds a request that is sent under `number`.
     pub fn send(&mut self, now_ms: u64, number: u64, prompt: Prompt) {
         let Prompt { tokens, reading_ms, is_late } = prompt;
         self.own.push(Unanswered { number, sent_at_ms: now_ms, tokens, reading_ms, is_late });
     }
 
-    /// Ends the wait of `number`; returns its tokens and how long it took, if it waited.
+    /// Removes the request `number`; returns its tokens and how long it waited, if it was present.
     pub fn end(&mut self, now_ms: u64, number: u64) -> Option<(u32, u64)> {
         let position = self.own.iter().position(|sent| sent.number == number)?;
         let ended = self.own.swap_remove(position);
         Some((ended.tokens, now_ms.saturating_sub(ended.sent_at_ms)))
     }
 
-    /// Notes that the endpoint began an answer.
+    /// Records that the endpoint started a response.
     pub fn answered(&mut self, now_ms: u64) {
         self.answered_at_ms = now_ms;
     }
 
-    /// True when the endpoint began no answer since `at_ms`.
+    /// True if the endpoint has started no response since `at_ms`.
     pub fn is_silent_since(&self, at_ms: u64) -> bool {
         self.answered_at_ms <= at_ms
     }
 
-    /// How many requests of this gateway wait here.
+    /// The number of this gateway's unanswered requests.
     pub fn len(&self) -> usize {
         self.own.len()
     }
 
-    /// True when none of this gateway's requests waits here.
+    /// True if none of this gateway's requests is unanswered.
     pub fn is_empty(&self) -> bool {
         self.own.is_empty()
     }
 
-    /// Notes what the other gateways have waiting here.
+    /// Sets the unread prompts of the other gateways' requests.
     pub fn set_others(&mut self, others: UnreadMs) {
         self.others = others;
     }
 
-    /// What this gateway has waiting here.
+    /// The unread prompts of this gateway's requests.
     pub fn own_unread(&self) -> UnreadMs {
         let mut own = UnreadMs::default();
         for sent in &self.own {
@@ -156,18 +158,20 @@
         own
     }
 
-    /// How long a request sent now would wait if it is not late: late ones are read after it.
+    /// The expected wait of a request that is sent now and is not late; late requests are read
+    /// after it.
     pub fn wait_ms(&self, now_ms: u64) -> f64 {
         let unread_ms = self.own_unread().in_time + self.others.in_time;
         unread_ms.max(self.silent_ms(now_ms) as f64)
     }
 
-    /// How long a late request sent now would wait.
+    /// The expected wait of a late request that is sent now.
     pub fn late_wait_ms(&self, now_ms: u64) -> f64 {
         self.wait_ms(now_ms) + self.own_unread().late + self.others.late
     }
 
-    /// For how long something in time has waited here while nothing at all was answered.
+    /// How long the oldest request that is not late has waited without any response from the
+    /// endpoint.
     pub fn silent_ms(&self, now_ms: u64) -> u64 {
         let mut oldest_ms: Option<u64> = None;
         for sent in &self.own {
--- a/tests/broken_off.rs
+++ b/tests/broken_off.rs
@@ -1,4 +1,4 @@
-//! Requests that one endpoint broke off while another one of its pool can't be reached.
+//! Requests that one endpoint of a pool broke off while the other one cannot be reached.
 
 mod common;
 
@@ -13,14 +13,13 @@
 use winchvane_standin::ports::free_ports;
 use winchvane_standin::region::{Region, wait_for};
 
-/// What users saw: 502 `outcome_unknown` for a completion, which may run again, while the other endpoint of
-/// the pool was back a moment later.
-/// Order of events: one endpoint can't be reached, another one takes the request and breaks it off.
-/// Cause: whether endpoints that change are worth waiting for was told by the last try alone; the first
-/// one was forgotten, and the failure of the second was final.
-/// Evidence: `an_endpoint_that_died_is_avoided_while_the_list_calls_it_live` beside 24 loops that use
-/// processor time, 1 of 15; in this test the log has `answer_failed`, 250 ms later `answer_failed` again at the
-/// same endpoint, and 502 at once, before `endpoint_down` of the other one was 60 ms old.
+/// Guards against a 502 `outcome_unknown` for a completion that may run again, sent while the other
+/// endpoint of the pool was about to come back. The owner decided whether to wait for an endpoint
+/// by the last attempt alone: it forgot that the first endpoint was unreachable, so the failure of
+/// the second one was final. Seen in 1 of 15 runs of
+/// `an_endpoint_that_died_is_avoided_while_the_list_calls_it_live` beside 24 busy loops. In this
+/// test the log had `answer_failed` twice at the same endpoint, 250 ms apart, and then the 502,
+/// less than 60 ms after `endpoint_down` of the other one.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_broke_off_waits_for_an_endpoint_that_cannot_be_reached() {
     let region = BrokenRegion::start().await;
@@ -36,29 +35,30 @@
     }
 }
 
-/// What users could see: 503 and "not run" for a completion that one endpoint had taken and broken off.
-/// Cause: the answer told of the last try alone, which the other endpoint had refused.
-/// Evidence: this test, and the reading of `note_refusal`.
+/// Guards against a 503 and "not run" for a completion that one endpoint had taken and broken off:
+/// the response described only the last attempt, which the other endpoint had refused. Found by
+/// this test and by reading `note_refusal`.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_broke_off_is_never_called_not_run() {
     let region = BrokenRegion::start().await;
     let body = json!({"model": "taichung", "prompt": "x"}).to_string();
     let headers = [("content-type", "application/json"), ("winchvane-deadline-ms", "1500")];
-    // The first request only: by the next ones both endpoints are known to be down, and nothing is sent.
+    // Only the first request is checked: after it both endpoints are known to be down, and nothing
+    // is sent.
     let at = region.region.callers(0);
     let got = region.region.send(at, Method::POST, "/v1/completions", &headers, &body).await;
     let got = got.expect("an answer");
     assert_eq!(got.header("winchvane-run"), "unknown", "{}", got.body);
 }
 
-/// A region in which one engine breaks off what it takes and the other one can't be reached.
+/// A region in which one engine breaks off its responses and the other one cannot be reached.
 struct BrokenRegion {
     region: Region,
-    /// Where the other one is listed and nobody listens.
+    /// The address at which the unreachable engine is listed; nothing listens there.
     unreachable: SocketAddr,
-    /// Where the other one listens.
+    /// The address at which the unreachable engine really listens.
     engine: SocketAddr,
-    /// Breaks the first one's connections off.
+    /// Breaks off the connections of the first engine.
     _breaking: Arc<Forwarder>,
 }
 
--- a/tests/clock.rs
+++ b/tests/clock.rs
@@ -1,7 +1,8 @@
-//! Time that passes while the machine is suspended.
+//! Leases and deadlines while the machine is suspended.
 //!
-//! The steady clock and the runtime's timers stand still then, so that a lease looked younger than it was and a deadline further
-//! off. No test can suspend the machine: here the source of the time jumps, as it does across a suspension.
+//! The monotonic clock and the runtime's timers stop during a suspension, which made leases look
+//! younger and deadlines further off than they were. A test cannot suspend the machine, so the time
+//! source jumps here as it does across a suspension.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
@@ -9,7 +10,7 @@
 use winchvane::clock::{Clock, SinceBoot, TimeSource};
 use winchvane::relay::{ORDER_HOLD_MS, OrderLease};
 
-/// A source that stands still but for jumps.
+/// A time source that moves only in jumps.
 #[derive(Debug)]
 struct Jumps(AtomicU64);
 
--- a/tests/fuzz_streams.rs
+++ b/tests/fuzz_streams.rs
@@ -1,5 +1,5 @@
-//! Streams of events that arrive in any pieces: the events given out are those of the stream, whole
-//! and in order, and no more is held back than one event may have.
+//! Fuzz tests of the event splitter: whatever pieces a stream arrives in, the splitter returns its
+//! events whole and in order, and buffers no more than the size limit of one event.
 
 #[path = "common/fuzz.rs"]
 mod fuzz;
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 use winchvane::relay::EventSplitter;
 
-/// The largest event that is held back until it is whole.
+/// The largest event that is buffered until it is complete.
 const HELD_MAX_BYTES: usize = 1 << 20;
 
 fn event() -> impl Strategy<Value = Vec<u8>> {
@@ -43,8 +43,8 @@
     })
 }
 
-/// Gives `stream` to a splitter in pieces of these sizes, and the rest in one; returns what came out
-/// as whole events, the last number, and what was left.
+/// Pushes `stream` into a splitter in pieces of the given sizes, and the rest in one piece. Returns
+/// the whole events, the last event id and the remaining bytes.
 fn split(stream: &[u8], sizes: &[usize]) -> (Vec<u8>, Option<u64>, Vec<u8>) {
     let mut splitter = EventSplitter::new(None);
     let mut whole = Vec::new();
@@ -56,7 +56,7 @@
     }
     whole.extend(splitter.push(left).unwrap_or_default());
     let number = splitter.last_event();
-    (whole, number, splitter.take_rest().unwrap_or_default().to_vec())
+    (whole, number, splitter.take_remainder().unwrap_or_default().to_vec())
 }
 
 #[test]
@@ -97,9 +97,9 @@
     });
 }
 
-/// A stream breaks, and events that the client has come to it again: an event with a number that
-/// cannot be read, or with bytes that are no text, hides the numbers of the events that arrived in
-/// the same piece before it.
+/// Guards against events that a client receives twice after a stream was resumed: an event whose id
+/// was not a number, or that contained bytes other than UTF-8, hid the ids of the earlier events in
+/// the same piece.
 #[test]
 fn the_last_number_does_not_depend_on_the_pieces() {
     let sizes = vec(0..20_usize, 0..60);
@@ -112,8 +112,8 @@
     });
 }
 
-/// An endpoint sends a large event a few bytes at a time, and the gateway is busy for minutes: each
-/// piece has all that is held back searched again.
+/// Guards against minutes of CPU time for a large event that arrives a few bytes at a time: the
+/// whole buffer was searched again for each piece.
 #[test]
 fn a_large_event_in_tiny_pieces_is_searched_once() {
     let mut splitter = EventSplitter::new(None);
--- a/tests/gateway_count.rs
+++ b/tests/gateway_count.rs
@@ -1,25 +1,26 @@
-//! How many gateways share the slack of a budget.
+//! The number of gateways that share the slack of a retry budget.
 
 use winchvane::relay::{GatewayCount, NO_SHARE};
 use yare::parameterized;
 
 const WINDOW_MS: u64 = 10_000;
 
-/// Renewals that the leader confirms, the first and the last.
+/// The send times of the first and the last of a series of confirmed renewals.
 struct InTouch(u64, u64);
 
-/// What is known after `told`, with renewals confirmed meanwhile.
+/// Returns the count after the leader sent the numbers `told` and confirmed the renewals
+/// `in_touch`.
 fn most(told: &[(u64, u32)], in_touch: &[InTouch], now_ms: u64) -> Option<u32> {
     let mut count = GatewayCount::new(WINDOW_MS);
     for &(at_ms, gateways) in told {
-        count.told(at_ms, gateways);
+        count.set_reported(at_ms, gateways);
     }
     for InTouch(first_ms, last_ms) in in_touch {
         for sent_at_ms in (*first_ms..=*last_ms).step_by(100) {
-            count.confirmed(sent_at_ms);
+            count.note_confirmed(sent_at_ms);
         }
     }
-    count.most(now_ms)
+    count.divisor(now_ms)
 }
 
 #[parameterized(
--- a/tests/orders_once.rs
+++ b/tests/orders_once.rs
@@ -1,7 +1,8 @@
-//! An order runs at most once, whoever is killed, frozen or lost, and its answer is kept.
+//! Idempotent orders: an order runs at most once although processes are killed, frozen or lost, and
+//! its response is kept.
 //!
-//! Every test waits on conditions; none depends on how fast the machine is, beyond the bounds that
-//! it states.
+//! The tests wait for conditions and do not depend on the speed of the machine, except for the
+//! stated time limits.
 
 mod common;
 
@@ -12,7 +13,7 @@
 use winchvane_standin::plain::PlainFault;
 use winchvane_standin::region::{Region, RegionOptions, wait_for};
 
-/// Sends one order again and again, at every gateway in turn, and collects what was answered.
+/// Sends one order repeatedly to the gateways in turn, and collects the responses.
 async fn retry_order(region: &Region, key: &str, gateways: &[usize]) -> Vec<(u16, String, String)> {
     let mut answers = Vec::new();
     for attempt in 0..10 {
@@ -73,7 +74,8 @@
         region.gateways[claimer].thaw();
     };
     let (first, ()) = tokio::join!(first, course);
-    // The woken claimer may tell its own caller the answer that it has; nobody runs it again.
+    // After the thaw the claimer may return the response to its own caller; no gateway runs the
+    // order again.
     let first = first.expect("an answer");
     assert!(first.status == StatusCode::OK || first.header("winchvane-run") == "unknown");
     region.wait_ready(claimer).await;
@@ -95,7 +97,7 @@
         let got = region.order(claimer, "order-3").await.expect("an answer");
         assert_eq!(got.header("winchvane-run"), "unknown", "{}", got.body);
     };
-    // Both are frozen first, so that they are lost at one time.
+    // Both are frozen first, so that they are lost at the same time.
     let course = async {
         lost.await;
         region.gateways[owner].freeze();
@@ -123,7 +125,7 @@
     let owner = region.owner_of("plain-0").await;
     let claimer = (owner + 1) % 3;
     let other = (owner + 2) % 3;
-    // The owner is frozen, so the claimed order is under way and not dispatched.
+    // The owner is frozen, so the claimed order is waiting and not dispatched.
     region.gateways[owner].freeze();
     let first = region.order(claimer, "order-4");
     let killed = async {
--- a/tests/planned_stops.rs
+++ b/tests/planned_stops.rs
@@ -1,7 +1,7 @@
-//! What signals to real processes do: a planned stop cuts nothing off, a reload ends nothing.
+//! Signals to real processes: a planned stop cuts off no request, and a reload ends no process.
 //!
-//! Every test waits on conditions; none depends on how fast the machine is, beyond the bounds that
-//! it states.
+//! The tests wait for conditions and do not depend on the speed of the machine, except for the
+//! stated time limits.
 
 mod common;
 
@@ -55,14 +55,12 @@
     }
 }
 
-/// What users saw: now and then a stream ended with `stream_broken` while another gateway was
-/// stopped as planned; both logs looked clean but for the stopped one having gone early.
-/// Order of events: the owner of an endpoint is told to stop and hands over; the endpoint's answer
-/// ends; the owner has it, the gateway that asked does not yet; the owner ends.
-/// Cause: the owner counted a request as done once its last event stood in the owner's own channel,
-/// not once the gateway that asked had it. The answer here is large so that this takes a while.
-/// Evidence: a run of this suite, `the owner was lost: step=receive ... broken pipe` at the asking
-/// gateway 1.77 s into a stream of 1.5 s.
+/// Guards against a stream that ends with `stream_broken` while another gateway is stopped as
+/// planned. The owner of the endpoint handed over and ended while the end of the response was still
+/// on its way to the asking gateway: it counted a request as done once the last event was in its
+/// own channel, not once the asking gateway had received it. The response is large here, so that
+/// the transfer takes a while. Seen in a run of this suite: the asking gateway logged `the owner
+/// was lost: step=receive ... broken pipe` 1.77 s into a stream of 1.5 s.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_stop_waits_until_the_asking_gateway_has_the_answer() {
     let mut region = Region::start(options()).await;
@@ -81,8 +79,8 @@
     assert!(size_bytes > 24 << 20, "{size_bytes}");
 }
 
-/// The same with an answer that fits into the connection's buffers, so that only the asking gateway
-/// can tell that it came: while it stands still, the owner stays.
+/// As above, with a response that fits into the connection's buffers, so that only the asking
+/// gateway can tell whether it arrived: the owner stays while the asking gateway is frozen.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_stop_waits_for_an_asking_gateway_that_stands_still() {
     let mut region = Region::start(options()).await;
@@ -103,14 +101,11 @@
     assert_eq!(status, StatusCode::OK, "{}", region.logs());
 }
 
-/// What users saw: a process that was told to reload right after its start was gone (soak seeds 114,
-/// 314 and 9368).
-/// Order of events: the process is started, SIGHUP comes before it watches signals, and the system's
-/// default ends it.
-/// Cause: nothing of a program runs before its `main`. What the program can do is to keep a SIGHUP
-/// ignored until it watches it, where whoever starts it has it ignored.
-/// Evidence: of 15 starts each with SIGHUP after 0 to 8 ms, up to 14 ended; started under `nohup`,
-/// none of 165, release and debug alike.
+/// Guards against a process that is ended by a reload signal right after its start, before it
+/// handles SIGHUP (soak seeds 114, 314 and 9368). No code of a program runs before `main`, but the
+/// program can keep SIGHUP ignored until it handles it, if its parent process had it ignored. With
+/// SIGHUP sent 0 to 8 ms after the start, up to 14 of 15 starts ended; under `nohup` none of 165
+/// did, in release and debug builds.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_reload_never_ends_a_process_started_with_the_signal_ignored() {
     let mut region = Region::start(options()).await;
@@ -118,7 +113,8 @@
         region.gateways[0].kill();
         region.gateways[0].start_under(&["trap '' HUP"]);
         let status = format!("/proc/{}/status", region.gateways[0].id());
-        // The shell that starts it has to ignore the signal first; the program may be there by now.
+        // The shell that starts the process has to ignore the signal first, so the signal mask is
+        // polled.
         let until = Instant::now() + Duration::from_secs(10);
         while !survives_hang_up(&status) {
             assert!(Instant::now() < until, "the signal is neither ignored nor watched");
@@ -134,7 +130,7 @@
         .await;
 }
 
-/// True while SIGHUP is ignored or watched.
+/// True while SIGHUP is ignored or handled.
 fn survives_hang_up(status: &str) -> bool {
     let text = std::fs::read_to_string(status).unwrap_or_default();
     let has_bit = |name: &str| {
@@ -145,7 +141,7 @@
     has_bit("SigIgn:") || has_bit("SigCgt:")
 }
 
-/// The status of an answer to a call without a key, and how many bytes it has.
+/// Returns the status and the body size of the response to a call without a key.
 async fn post_report(
     client: &winchvane::http::HttpClient,
     at: std::net::SocketAddr,
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -1,10 +1,11 @@
-//! The parts of a relay that decide: which endpoint, which retries, which events.
+//! The selection of endpoints and the other decisions of a relay: retries, event splitting,
+//! connection reuse.
 
 use winchvane::message::{EndpointLoad, Holding, Load, Placed, RegisteredEndpoint, WeightsName};
 use winchvane::policy::rank::{LATE_RANK, Urgency};
 use winchvane::relay::{
     EventSplitter, Fleet, IdleConnections, Picked, PrefixCache, Prompt, PromptChain, PromptPart,
-    ReadingPace, RetryBudget, Waiting, Wanted, reconnect_max_ms,
+    ReadingPace, RetryBudget, UnansweredRequests, Wanted, reconnect_max_ms,
 };
 
 fn endpoint(id: &str, zone: &str, slots: u32) -> RegisteredEndpoint {
@@ -32,7 +33,7 @@
     EndpointLoad { endpoint: id.into(), load: Load { running, waiting_ms, ..Load::default() } }
 }
 
-/// A request with a prompt of `tokens` and a second left until its objective.
+/// A request with a prompt of `tokens` and one second left until its latency objective.
 fn wanted(tokens: u32) -> Wanted {
     Wanted {
         weights: adapter(),
@@ -44,7 +45,8 @@
     }
 }
 
-/// The same whose prompt has these parts of 4,000 tokens each, and 1,000 of its own.
+/// A request whose prompt has the given shared parts of 4,000 tokens each, and 1,000 tokens of its
+/// own.
 fn wanted_with(parts: &[u64]) -> Wanted {
     let mut told = Vec::new();
     for id in parts {
@@ -122,7 +124,7 @@
 
 #[test]
 fn requests_go_around_an_endpoint_that_answers_nothing() {
-    let mut waiting = Waiting::new();
+    let mut waiting = UnansweredRequests::new();
     waiting.send(1_000, 1, waits(0.0));
     waiting.send(1_100, 2, waits(0.0));
     assert!(waiting.wait_ms(1_500) >= 500.0, "nothing was answered for half a second");
@@ -133,7 +135,7 @@
 
 #[test]
 fn late_requests_hold_up_no_others() {
-    let mut waiting = Waiting::new();
+    let mut waiting = UnansweredRequests::new();
     waiting.send(1_000, 1, waits(300.0));
     waiting.send(1_000, 2, Prompt { is_late: true, ..waits(400.0) });
     assert_eq!(waiting.wait_ms(1_000) as u64, 300, "the late one is read last");
@@ -307,7 +309,7 @@
     fleet.register(endpoint("n", "near", 4));
     fleet.failed(0, &"n".into());
     assert_eq!(picked(&mut fleet, 0, None).as_deref(), Some("n"));
-    fleet.unreachable(0, &"n".into());
+    fleet.mark_unreachable(0, &"n".into());
     assert_eq!(fleet.pick(0, "quotes", None, &[]), Picked::Full);
     assert_eq!(fleet.take_traffic(0).failing.len(), 1);
     assert_eq!(picked(&mut fleet, 10_000, None).as_deref(), Some("n"), "it is tried again");
@@ -352,25 +354,25 @@
     events.drop_partial();
     assert_eq!(events.push(b"id: 2\ndata: b\n\n").as_deref(), Some(&b"id: 2\ndata: b\n\n"[..]));
     assert_eq!(events.last_event(), Some(2));
-    assert_eq!(events.take_rest(), None);
+    assert_eq!(events.take_remainder(), None);
 }
 
-/// What users could see: a stream taken up within an event above 1 MiB, whose rest was missing.
-/// Cause: such an event is passed on in parts, and its number counted as had with the first of them.
-/// Evidence: found by reading; `last_event` is 2 below while only a part of event 2 was given out.
+/// Guards against a stream that was resumed inside an event above 1 MiB, whose rest was then
+/// missing. Such an event is forwarded in parts, and its id counted as received with the first
+/// part: below `last_event` is 2 while only a part of event 2 was returned.
 #[test]
 fn a_stream_is_not_taken_up_within_an_event() {
     let mut events = EventSplitter::new(None);
     events.push(b"id: 1\ndata: a\n\n").expect("a whole event");
-    assert!(events.can_be_taken_up());
+    assert!(events.is_at_event_boundary());
     let mut large = b"id: 2\ndata: ".to_vec();
     large.resize(2 << 20, b'x');
     assert!(events.push(&large).is_some(), "a part of it");
     events.drop_partial();
-    assert!(!events.can_be_taken_up());
+    assert!(!events.is_at_event_boundary());
     assert!(events.push(b"the rest\n\nid: 3\n").is_some(), "its end");
     events.drop_partial();
-    assert!(events.can_be_taken_up());
+    assert!(events.is_at_event_boundary());
     assert_eq!(events.last_event(), Some(2));
 }
 
@@ -387,6 +389,7 @@
 
 #[test]
 fn a_gateway_finds_the_next_leader_while_a_change_may_still_be_late() {
-    // Two replicas may be cut off; the users allow two seconds from an acknowledgement on.
+    // Two replicas may be cut off; a change must take effect within two seconds of its
+    // acknowledgement.
     assert!(reconnect_max_ms(2) < 2_000);
 }
--- a/tests/renewed_versions.rs
+++ b/tests/renewed_versions.rs
@@ -1,19 +1,20 @@
-//! Which versions requests begin on while an adapter is renewed.
+//! The versions that requests start on while an adapter is renewed.
 //!
-//! Users saw requests begin on version 1 of an adapter 13.7 s after version 2 had been accepted, where
-//! five seconds are allowed, on days on which adapters were renewed every two seconds; and 7.3 s after
-//! it where an adapter was renewed twice and gateways were killed in between.
+//! Guards against requests that start on a replaced version after the five seconds that are
+//! allowed: they started on version 1 up to 13.7 s after version 2 was accepted, while adapters
+//! were renewed every two seconds, and after 7.3 s where an adapter was renewed twice while
+//! gateways were killed.
 //!
-//! Order of events: an endpoint holds version 1. Version 2 is named, and version 3 before gateways
-//! have known version 2 for the 2.5 s after which they would ask for it. A gateway kept one version and
-//! one time for an adapter, so that the age of all began again with each newer version; and one that
-//! had just started counted from when it was told. Evidence: the gateway's own lines on such a request,
-//! `version=1 newest=8 known_for_ms=1864 due=0` (`docs/incidents/versions-and-retries.md`).
+//! A gateway kept a single version and time per adapter. If version 3 was named within the 2.5 s
+//! after which the gateway would have required version 2, the age of all versions started anew. A
+//! gateway that had just started counted from the time it received the version. It logged
+//! `version=1 newest=8 known_for_ms=1864 due=0` for such a request
+//! (`docs/incidents/versions-and-retries.md`).
 
 use winchvane::message::{EndpointLoad, Holding, Load, Placed, RegisteredEndpoint, WeightsName};
 use winchvane::relay::{Fleet, Picked, PromptChain, Wanted};
 
-/// A request may begin on a replaced version for this long after the newer one was accepted.
+/// How long after a newer version was accepted a request may start on the replaced one.
 const ALLOWED_MS: u64 = 5_000;
 
 fn adapter() -> WeightsName {
@@ -45,7 +46,7 @@
     fleet.place(false, vec![Placed { endpoint: id.into(), name: adapter(), holding }]);
 }
 
-/// Where a request goes, if anywhere.
+/// The endpoint picked for a request, if any.
 fn pick(fleet: &mut Fleet, now_ms: u64) -> Option<String> {
     let wanted = Wanted {
         weights: adapter(),
@@ -65,7 +66,7 @@
 fn a_version_becomes_due_though_newer_ones_follow() {
     let mut fleet = fleet();
     place(&mut fleet, "a", 1);
-    // The endpoint with the newer versions is the busier one, so that the other one is preferred.
+    // The endpoint with the newer versions is busier, so that the other one is preferred.
     let load = Load { running: 8, waiting_ms: 120, ..Load::default() };
     fleet.note_loads(0, vec![EndpointLoad { endpoint: "b".into(), load }]);
     for step in 0..240 {
@@ -85,7 +86,7 @@
 #[test]
 fn a_gateway_that_has_just_started_uses_no_version_that_was_replaced() {
     let mut fleet = fleet();
-    // It is told when it starts: the version may have been accepted long ago.
+    // A gateway receives the version when it starts, perhaps long after it was accepted.
     fleet.learn_newest(50, adapter(), 2);
     place(&mut fleet, "a", 1);
     for now_ms in (50..4_000).step_by(50) {
@@ -95,8 +96,9 @@
     assert_eq!(pick(&mut fleet, 4_000).as_deref(), Some("b"));
 }
 
-/// Users saw all requests for a base model refused once a newer version of it had been named: nothing
-/// replaces a base model at endpoints that serve adapters of it, and what is held was taken for too old.
+/// Guards against refusing all requests for a base model once a newer version of it was named:
+/// nothing replaces the base model of an endpoint that serves adapters of it, so the version held
+/// counted as too old.
 #[test]
 fn a_renewed_base_model_is_served_as_it_is_held() {
     let mut fleet = fleet();
@@ -118,7 +120,7 @@
     }
 }
 
-/// A refusal tells of the version that the request was sent for, not of the one that came since.
+/// A refusal applies to the version that the request was sent for, not to one reported since.
 #[test]
 fn a_refusal_for_a_replaced_version_does_not_hide_the_newer_one() {
     let mut fleet = fleet();
@@ -143,8 +145,8 @@
     }
 }
 
-/// The figure: of 5,000 ms allowed, 1,250 for sending and 4,000 for beginning. Without the latter 16 of 322 requests
-/// began after 6.5 s, the time for which their endpoint stood still.
+/// Of the 5,000 ms allowed, 1,250 are for sending and 4,000 is the limit for starting. Without the
+/// second limit 16 of 322 requests started after 6.5 s, the time for which their endpoint hung.
 #[test]
 fn what_was_sent_to_a_replaced_version_may_begin_for_a_bounded_time() {
     let mut fleet = fleet().with_version_within(5_000);
@@ -167,7 +169,8 @@
     assert_eq!(fleet.begin_by_ms(700, &base, 1), None, "base models are served as they are held");
 }
 
-/// A version that was held up on its way counts from the last moment at which everything was known.
+/// The age of a version whose message was delayed counts from the last time at which the gateway
+/// knew all versions.
 #[test]
 fn a_version_that_is_told_late_is_due_by_its_acceptance() {
     let mut fleet = fleet().with_version_within(5_000);
--- a/tests/retry_budget.rs
+++ b/tests/retry_budget.rs
@@ -1,14 +1,15 @@
-//! Retries of all gateways together, while gateways are killed, stopped and cut off.
+//! The retries of all gateways together, while gateways are killed, stopped and cut off.
 //!
-//! Users saw 610 retries towards one service in ten seconds, for 2,116 requests, where 477 were
-//! allowed, on a day on which endpoints refused most of what they got and 60% of the gateways were killed
-//! four times, two seconds apart; 525 where all were stopped in turn, 497 where half were killed once.
+//! Guards against exceeding the common retry budget when gateways restart. 610 retries towards one
+//! service were seen in ten seconds, for 2,116 requests and 477 allowed retries, while endpoints
+//! refused most requests and 60% of the gateways were killed four times, two seconds apart. There
+//! were 525 where all gateways were stopped in turn, and 497 where half of them were killed once.
 //!
-//! Order of events: endpoints refuse, each gateway uses its share of the common budget at once; its
-//! process ends; the one that starts anew has an empty count and a share of the common slack, all of it
-//! until it is told how many gateways there are; and those that stayed divide the slack by fewer.
-//! Evidence: 614 retries logged as allowed in that window by 23 processes of 7 gateways, which took 1 to
-//! 10 gateways to share the slack (`docs/incidents/versions-and-retries.md`).
+//! Each gateway uses its share of the budget at once when endpoints refuse. A restarted process had
+//! lost its count and took a share of the slack again, all of it until it knew the number of
+//! gateways, while the remaining gateways divided the slack by a smaller number. In that window 23
+//! processes of 7 gateways logged 614 allowed retries, and divided the slack by 1 to 10 gateways
+//! (`docs/incidents/versions-and-retries.md`).
 
 use winchvane::relay::RetryBudget;
 
@@ -16,25 +17,25 @@
 const SLACK: f64 = 54.0;
 const WINDOW_MS: u64 = 10_000;
 const GATEWAYS: usize = 7;
-/// Between two requests at one gateway.
+/// The time between two requests at one gateway.
 const REQUEST_MS: u64 = 32;
-/// Endpoints refuse from here on.
+/// Endpoints refuse all requests from this time on.
 const REFUSED_FROM_MS: u64 = 7_000;
 const END_MS: u64 = 30_000;
-/// How long a process that starts knows of no other gateway.
-const UNTOLD_MS: u64 = 50;
+/// How long a started process knows of no other gateway.
+const UNINFORMED_MS: u64 = 50;
 
-/// Gateways that are away for a while.
-struct Away {
+/// Gateways that are unavailable for a while.
+struct Outage {
     from_ms: u64,
     for_ms: u64,
     gateways: &'static [usize],
-    /// True when their processes end; else they are only cut off from control.
+    /// True if their processes end; false if they are only cut off from control.
     ends: bool,
 }
 
-fn killed(from_ms: u64, for_ms: u64, gateways: &'static [usize]) -> Away {
-    Away { from_ms, for_ms, gateways, ends: true }
+fn killed(from_ms: u64, for_ms: u64, gateways: &'static [usize]) -> Outage {
+    Outage { from_ms, for_ms, gateways, ends: true }
 }
 
 struct Gateway {
@@ -48,47 +49,48 @@
     }
 }
 
-/// The times of all requests and of all retries.
+/// The times of all requests and retries.
 #[derive(Default)]
-struct Seen {
+struct Timeline {
     requests_ms: Vec<u64>,
     retries_ms: Vec<u64>,
 }
 
-fn play(aways: &[Away]) -> Seen {
+fn simulate(outages: &[Outage]) -> Timeline {
     let mut gateways: Vec<Gateway> = (0..GATEWAYS).map(|_| Gateway::new(0)).collect();
-    let mut seen = Seen::default();
+    let mut timeline = Timeline::default();
     for now_ms in 0..END_MS {
         let mut connected = GATEWAYS;
         let mut down = [false; GATEWAYS];
-        for away in aways {
-            let is_away = (away.from_ms..away.from_ms + away.for_ms).contains(&now_ms);
-            for &index in away.gateways {
-                connected -= usize::from(is_away);
-                down[index] |= is_away && away.ends;
-                if away.ends && now_ms == away.from_ms + away.for_ms {
+        for outage in outages {
+            let is_out = (outage.from_ms..outage.from_ms + outage.for_ms).contains(&now_ms);
+            for &index in outage.gateways {
+                connected -= usize::from(is_out);
+                down[index] |= is_out && outage.ends;
+                if outage.ends && now_ms == outage.from_ms + outage.for_ms {
                     gateways[index] = Gateway::new(now_ms);
                 }
             }
         }
         for (index, gateway) in gateways.iter_mut().enumerate() {
-            // Clients send on while a gateway is away, to the others.
+            // While a gateway is down, its clients send to the others.
             let is_due = now_ms % REQUEST_MS == index as u64 * REQUEST_MS / GATEWAYS as u64;
             if !is_due || down[index] {
                 continue;
             }
             gateway.budget.note_request(now_ms);
-            seen.requests_ms.push(now_ms);
-            let is_told = gateway.started_ms == 0 || gateway.started_ms + UNTOLD_MS <= now_ms;
-            let shared_by = if is_told { connected as u32 } else { 1 };
+            timeline.requests_ms.push(now_ms);
+            let is_informed =
+                gateway.started_ms == 0 || gateway.started_ms + UNINFORMED_MS <= now_ms;
+            let shared_by = if is_informed { connected as u32 } else { 1 };
             for _ in 0..3 {
                 if now_ms >= REFUSED_FROM_MS && gateway.budget.take(now_ms, shared_by) {
-                    seen.retries_ms.push(now_ms);
+                    timeline.retries_ms.push(now_ms);
                 }
             }
         }
     }
-    seen
+    timeline
 }
 
 fn count(times_ms: &[u64], from_ms: u64) -> usize {
@@ -97,20 +99,22 @@
         - times_ms.partition_point(|at_ms| *at_ms < from_ms)
 }
 
-/// The most retries in a window beyond what is allowed there, and where that was.
+/// The largest excess of retries over the allowed number in any window, and the start of that
+/// window.
 ///
-/// Requests are counted in the window, the one before it or the one half a window before it.
-fn worst(seen: &Seen) -> (f64, u64) {
+/// The allowance uses the largest request count of the window itself, the previous one and the one
+/// half a window earlier.
+fn worst(timeline: &Timeline) -> (f64, u64) {
     let mut worst = (f64::MIN, 0);
     for from_ms in (0..END_MS - WINDOW_MS).step_by(50) {
-        let mut requests = count(&seen.requests_ms, from_ms);
+        let mut requests = count(&timeline.requests_ms, from_ms);
         for earlier_ms in [WINDOW_MS / 2, WINDOW_MS] {
             if from_ms >= earlier_ms {
-                requests = requests.max(count(&seen.requests_ms, from_ms - earlier_ms));
+                requests = requests.max(count(&timeline.requests_ms, from_ms - earlier_ms));
             }
         }
         let allowed = requests as f64 * RATIO + SLACK;
-        let excess = count(&seen.retries_ms, from_ms) as f64 - allowed;
+        let excess = count(&timeline.retries_ms, from_ms) as f64 - allowed;
         if excess > worst.0 {
             worst = (excess, from_ms);
         }
@@ -143,13 +147,13 @@
         }),
         (
             "half are cut off from control",
-            vec![Away { from_ms: 10_000, for_ms: 3_000, gateways: &[0, 2, 4, 6], ends: false }],
+            vec![Outage { from_ms: 10_000, for_ms: 3_000, gateways: &[0, 2, 4, 6], ends: false }],
         ),
     ];
-    for (name, aways) in cases {
-        let seen = play(&aways);
-        let (excess, from_ms) = worst(&seen);
+    for (name, outages) in cases {
+        let timeline = simulate(&outages);
+        let (excess, from_ms) = worst(&timeline);
         assert!(excess <= 0.0, "{name}: {excess:.0} too many in 10 s from {from_ms} ms");
-        assert!(seen.retries_ms.len() > 400, "{name}: the budget can be used");
+        assert!(timeline.retries_ms.len() > 400, "{name}: the budget can be used");
     }
 }
--- a/tests/retry_random.rs
+++ b/tests/retry_random.rs
@@ -1,6 +1,6 @@
-//! Retries of all gateways together under random failures, with fixed seeds: processes are killed and
-//! frozen, gateways are cut off from control and added and removed, leaders change, requests burst and
-//! stop; after calm stretches every retry is taken that can be had.
+//! The retries of all gateways together under random failures, with fixed seeds: processes are
+//! killed and frozen, gateways are cut off from control, added and removed, leaders change, and
+//! traffic bursts and stops. While endpoints refuse, every available retry is taken.
 //!
 //! `WINCHVANE_SEEDS=2000 cargo test --release --test retry_random` runs longer.
 
@@ -13,11 +13,12 @@
 const END_MS: u64 = 60_000;
 const WINDOW_MS: u64 = 10_000;
 const RENEW_MS: u64 = 300;
-/// The leader takes a session for lost after this.
+/// The leader treats a session as lost after this much silence.
 const SILENCE_MS: u64 = 900;
 const SLOTS_MAX: usize = 12;
-/// Requests that wait at a frozen gateway; its clients send no more until they are answered. They earn
-/// retries later than they count. 100 kept the bound as well, 20,000 seeds each.
+/// The most requests that queue at a frozen gateway; its clients send no more until these are
+/// answered. Queued requests earn their retries later than they count. The budget also held with
+/// 100, over 20,000 seeds each.
 const QUEUE_MAX: usize = 30;
 
 /// The process of a gateway.
@@ -30,27 +31,27 @@
 
 impl Process {
     fn may_retry(&mut self, now_ms: u64) -> bool {
-        let gateways = self.gateways.most(now_ms);
+        let gateways = self.gateways.divisor(now_ms);
         gateways.is_some_and(|gateways| self.budget.take(now_ms, gateways))
     }
 }
 
-/// A place for a gateway.
+/// The place of one gateway, whose process comes and goes.
 struct Slot {
-    /// False while no gateway is meant to run here.
+    /// False while no gateway is configured here.
     is_used: bool,
     process: Option<Process>,
     starts_at_ms: u64,
-    /// Cut off from control until then.
+    /// The gateway is cut off from control until this time.
     cut_until_ms: u64,
-    /// When its process last renewed; nothing while the leader does not count it.
+    /// When the process last renewed its session; `None` while the leader does not count it.
     in_touch_at_ms: Option<u64>,
-    /// From when on the leader may learn of it.
+    /// The earliest time at which the leader learns of the process.
     joins_at_ms: u64,
     told: Option<u32>,
 }
 
-struct Course {
+struct Simulation {
     rng: SmallRng,
     ratio: f64,
     slack: f64,
@@ -61,12 +62,12 @@
     traffic_until_ms: u64,
     is_refused: bool,
     refused_until_ms: u64,
-    /// Requests and retries of each step.
+    /// The number of requests, and below of retries, in each step.
     sent: Vec<u32>,
     retried: Vec<u32>,
 }
 
-impl Course {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let ratio = [0.1, 0.2, 0.5][rng.random_range(0..3)];
@@ -102,12 +103,12 @@
     }
 
     fn run(mut self) -> u32 {
-        let trouble_ms: u64 = [500, 2_000, 8_000][self.rng.random_range(0..3)];
+        let fault_interval_ms: u64 = [500, 2_000, 8_000][self.rng.random_range(0..3)];
         for now_ms in (0..END_MS).step_by(STEP_MS as usize) {
             self.sent.push(0);
             self.retried.push(0);
-            if self.rng.random_bool(STEP_MS as f64 / trouble_ms as f64) {
-                self.trouble(now_ms);
+            if self.rng.random_bool(STEP_MS as f64 / fault_interval_ms as f64) {
+                self.inject_fault(now_ms);
             }
             self.start_processes(now_ms);
             self.follow(now_ms);
@@ -117,9 +118,9 @@
         self.retried.iter().sum()
     }
 
-    fn trouble(&mut self, now_ms: u64) {
+    fn inject_fault(&mut self, now_ms: u64) {
         let kind = self.rng.random_range(0..100);
-        // A leader is lost now and then only, all gateways together hardly ever.
+        // Failures of the leader are rare, and failures of all gateways at once rarer.
         if kind < 4 {
             self.leads_from_ms = now_ms + self.rng.random_range(500..15_000);
             return;
@@ -171,11 +172,11 @@
         }
     }
 
-    /// The leader counts the gateways that were in touch lately and tells the number to them.
+    /// The leader counts the gateways that were in touch recently and sends them the number.
     fn follow(&mut self, now_ms: u64) {
         if now_ms < self.leads_from_ms {
             for slot in &mut self.slots {
-                // The next leader learns of gateways one by one.
+                // The next leader learns of the gateways one by one.
                 slot.joins_at_ms = self.leads_from_ms + self.rng.random_range(20..1_000);
                 slot.in_touch_at_ms = None;
                 slot.told = None;
@@ -196,7 +197,7 @@
                 && slot.joins_at_ms <= now_ms;
             if is_reached && slot.in_touch_at_ms.is_none_or(|at_ms| at_ms + RENEW_MS <= now_ms) {
                 slot.in_touch_at_ms = Some(now_ms);
-                process.gateways.confirmed(now_ms);
+                process.gateways.note_confirmed(now_ms);
             }
             followers += u32::from(slot.in_touch_at_ms.is_some());
         }
@@ -207,7 +208,7 @@
                 continue;
             }
             slot.told = Some(followers);
-            process.gateways.told(now_ms, followers);
+            process.gateways.set_reported(now_ms, followers);
         }
     }
 
@@ -254,7 +255,7 @@
         }
     }
 
-    /// Looks at every window of the course.
+    /// Checks every window of the run.
     fn check(&self) {
         let sent = sums(&self.sent);
         let retried = sums(&self.retried);
@@ -276,7 +277,7 @@
     }
 }
 
-/// How many there were before each step.
+/// Prefix sums of `counts`: the total before each step.
 fn sums(counts: &[u32]) -> Vec<u32> {
     let mut sums = vec![0];
     let mut sum = 0;
@@ -294,7 +295,7 @@
     let mut retries = 0;
     for seed in 0..seeds {
         println!("seed {seed}");
-        retries += u64::from(Course::new(seed).run());
+        retries += u64::from(Simulation::new(seed).run());
     }
     assert!(retries > 200 * seeds, "the budget can be used: {retries} retries");
 }
--- a/tests/standings.rs
+++ b/tests/standings.rs
@@ -1,4 +1,5 @@
-//! How a gateway treats requests under which endpoints ended, and what control keeps of them.
+//! The standings of requests under which endpoints ended: their effect on a gateway, and their
+//! storage in control.
 
 use std::collections::HashSet;
 
@@ -38,7 +39,7 @@
         RequestContent { host: "g", ..content(b"body") },
         RequestContent { target: "/a?b=d", ..content(b"body") },
         RequestContent { weights: Some(&weights), ..content(b"body") },
-        // The same bytes, cut elsewhere.
+        // The same bytes, split elsewhere between target and body.
         RequestContent { target: "/a?b=cb", ..content(b"ody") },
     ];
     for other in others {
@@ -49,14 +50,14 @@
 #[test]
 fn a_held_request_is_refused_until_its_time_has_passed() {
     let mut standings = Standings::new("g1".into());
-    assert_eq!(standings.permission(0, key()), Permission::Free);
+    assert_eq!(standings.permission(0, key()), Permission::Unrestricted);
     standings.apply(1_000, told(held(10_000)));
     assert_eq!(standings.permission(1_000, key()), Permission::Refused { after_ms: 10_000 });
     assert_eq!(standings.permission(7_000, key()), Permission::Refused { after_ms: 4_000 });
     assert_eq!(standings.permission(10_999, key()), Permission::Refused { after_ms: 1_000 });
-    assert_eq!(standings.permission(11_000, key()), Permission::Ask);
+    assert_eq!(standings.permission(11_000, key()), Permission::AskLeader);
     standings.apply(12_000, told(Standing::Cleared));
-    assert_eq!(standings.permission(12_000, key()), Permission::Free);
+    assert_eq!(standings.permission(12_000, key()), Permission::Unrestricted);
     assert!(standings.is_empty());
 }
 
@@ -64,7 +65,7 @@
 fn watched_requests_are_sent_and_suspected_ones_once() {
     let mut standings = Standings::new("g1".into());
     standings.apply(0, told(Standing::Watched));
-    assert_eq!(standings.permission(0, key()), Permission::Free);
+    assert_eq!(standings.permission(0, key()), Permission::Unrestricted);
     assert!(standings.is_watched(&key()));
     standings.apply(0, told(Standing::Suspected));
     assert_eq!(standings.permission(0, key()), Permission::Once);
@@ -80,10 +81,11 @@
     assert!(standings.take_trial(&key()));
     assert!(!standings.take_trial(&key()), "it was used");
     assert!(matches!(standings.permission(0, key()), Permission::Refused { .. }));
-    assert_eq!(standings.permission(2_000, key()), Permission::Ask, "it had no outcome");
+    assert_eq!(standings.permission(2_000, key()), Permission::AskLeader, "it had no outcome");
 }
 
-/// Guards against a trial that nobody uses: until it had an outcome all other tries were refused.
+/// Guards against a trial that no request uses: all other attempts are refused until it has an
+/// outcome.
 #[test]
 fn a_trial_that_no_request_waits_for_is_returned() {
     let mut standings = Standings::new("g1".into());
@@ -110,7 +112,7 @@
         let permission = standings.permission(now_ms, key());
         assert!(matches!(permission, Permission::Refused { .. }), "{permission:?} at {now_ms}");
     }
-    assert_eq!(standings.permission(15_000, key()), Permission::Ask);
+    assert_eq!(standings.permission(15_000, key()), Permission::AskLeader);
 }
 
 #[test]
