--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -140,7 +140,7 @@
 mutate "gateways share the limit of an endpoint" $limit 's/let equal = 1\.0 \/ f64::from\(others\.gateways\.max\(1\)\);/let equal = 1.0;/' --test endpoint_limit
 mutate "demand counts once the others know it" $limit 's/DEMAND_DELAY_MS: u64 = 1_000/DEMAND_DELAY_MS: u64 = 0/' --test endpoint_limit
 mutate "an answer that was on its way ends no limit" src/relay/limits.rs 's/if sent_at_ms < limited\.advertised_at_ms \{/if false {/' --test limited_endpoints
-mutate "nothing is sent within a backoff" src/relay/pick.rs 's/let backoff_ms = known\.backoff\.wait_ms\(self\.now_ms\);/let backoff_ms = 0;/' --test endpoint_backoff
+mutate "nothing is sent within a backoff" src/relay/pick.rs 's/let backoff_ms = state\.backoff\.wait_ms\(self\.now_ms\);/let backoff_ms = 0;/' --test endpoint_backoff
 mutate "single requests after a backoff" src/policy/endpoint_backoff.rs 's/until_ms\.max\(self\.next_probe_ms\)/until_ms/' --test endpoint_backoff
 mutate "an announced shutdown outlasts heartbeats" src/relay/known.rs 's/ \|\| now_ms < self\.leaving_until_ms//' --test leaving_endpoints
 echo "$missed rules without a test that fails"
--- a/src/relay/access.rs
+++ b/src/relay/access.rs
@@ -25,7 +25,7 @@
     /// Authenticates a request on `route`.
     ///
     /// # Errors
-    /// / The key is not valid for the route, or this gateway cannot tell whether it still is.
+    /// The key is not valid for the route, or this gateway cannot tell whether it still is.
     pub(super) fn authenticate(
         relay: &Relay,
         now_ms: u64,
@@ -52,7 +52,7 @@
     /// Checks after a wait that the key was not revoked meanwhile.
     ///
     /// # Errors
-    /// / The key is no longer valid for the route, or now belongs to another workspace.
+    /// The key is no longer valid for the route, or now belongs to another workspace.
     pub(super) fn check_still_valid(&self, relay: &Relay, route: &Route) -> Result<(), NotSent> {
         let Some(workspace) = &self.workspace else { return Ok(()) };
         let table = relay.table();
--- a/src/relay/admission.rs
+++ b/src/relay/admission.rs
@@ -42,7 +42,7 @@
 /// Reads a request completely and finds its route.
 ///
 /// # Errors
-/// / The response that refuses the request.
+/// The response that refuses the request.
 pub(super) async fn admit(
     relay: &Arc<Relay>,
     started_ms: u64,
--- a/src/relay/border.rs
+++ b/src/relay/border.rs
@@ -105,7 +105,7 @@
     /// Reads the metadata of a client's request.
     ///
     /// # Errors
-    /// / What the client has to correct.
+    /// What the client has to correct.
     fn read_request(&self, headers: &HeaderMap) -> std::result::Result<RequestMeta, String>;
 
     /// Removes the headers that only the gateway may send to endpoints.
--- a/src/relay/choice.rs
+++ b/src/relay/choice.rs
@@ -16,7 +16,7 @@
 pub(super) struct Candidate<'a> {
     pub(super) cost_ms: f64,
     pub(super) rank: Option<u8>,
-    pub(super) known: &'a EndpointState,
+    pub(super) state: &'a EndpointState,
 }
 
 /// The cheapest of `candidates`.
@@ -34,7 +34,7 @@
     let Some((shared_hash, tokens)) = wanted.and_then(|wanted| wanted.prompt.shared()) else {
         return;
     };
-    let fit = |candidate: &&mut Candidate<'_>| hash::affinity(candidate.known.hash, shared_hash);
+    let fit = |candidate: &&mut Candidate<'_>| hash::affinity(candidate.state.hash, shared_hash);
     if let Some(best) = candidates.iter_mut().max_by_key(fit) {
         best.cost_ms -= pace.reading_ms(tokens) * CACHED_SHARE;
     }
--- a/src/relay/crashes.rs
+++ b/src/relay/crashes.rs
@@ -26,7 +26,8 @@
 /// The maximum number of crashes that are resent.
 const RESEND_MAX: usize = 256;
 
-/// A gateway's record of endpoint crashes and of the standings of requests.
+/// A gateway's record of endpoint crashes, and of the standings that the leader gave to requests
+/// which may have caused them.
 #[derive(Debug)]
 pub(super) struct CrashWatch {
     standings: Mutex<Standings>,
--- a/src/relay/fleet.rs
+++ b/src/relay/fleet.rs
@@ -110,8 +110,8 @@
 
     /// Adds or updates a registered endpoint.
     pub fn register(&mut self, endpoint: RegisteredEndpoint) {
-        if let Some(known) = self.endpoints.get_mut(&endpoint.id) {
-            known.endpoint = endpoint;
+        if let Some(state) = self.endpoints.get_mut(&endpoint.id) {
+            state.endpoint = endpoint;
             return;
         }
         let ids = self.by_service.entry(endpoint.service.clone()).or_default();
@@ -121,17 +121,17 @@
 
     /// Removes an endpoint; returns its address.
     pub fn deregister(&mut self, id: &str) -> Option<SocketAddr> {
-        let known = self.endpoints.remove(id)?;
+        let state = self.endpoints.remove(id)?;
         self.limits.remove(id);
         self.failing_reported_at_ms.remove(id);
         self.leaving.remove(id);
-        if let Some(ids) = self.by_service.get_mut(&known.endpoint.service) {
-            ids.retain(|known| &**known != id);
+        if let Some(ids) = self.by_service.get_mut(&state.endpoint.service) {
+            ids.retain(|other| &**other != id);
         }
         for homes in self.homes.values_mut() {
             homes.remove(id);
         }
-        Some(known.endpoint.address)
+        Some(state.endpoint.address)
     }
 
     /// Removes all endpoints except `ids`.
@@ -177,11 +177,11 @@
     pub fn note_loads(&mut self, now_ms: u64, loads: Vec<EndpointLoad>) {
         for load in loads {
             self.limits.set_others(now_ms, &load.endpoint, load.load.demand_per_min);
-            if let Some(known) = self.endpoints.get_mut(&load.endpoint) {
-                known.others_running = load.load.running;
+            if let Some(state) = self.endpoints.get_mut(&load.endpoint) {
+                state.others_running = load.load.running;
                 let Load { waiting_ms, late_ms, .. } = load.load;
                 let others = UnreadMs { in_time: waiting_ms.into(), late: late_ms.into() };
-                known.waiting.set_others(others);
+                state.waiting.set_others(others);
             }
         }
     }
@@ -189,9 +189,9 @@
     /// Clears the load of the other gateways, which is not updated without a leader.
     pub fn forget_loads(&mut self, now_ms: u64) {
         self.limits.forget_others(now_ms);
-        for known in self.endpoints.values_mut() {
-            known.others_running = 0;
-            known.waiting.set_others(UnreadMs::default());
+        for state in self.endpoints.values_mut() {
+            state.others_running = 0;
+            state.waiting.set_others(UnreadMs::default());
         }
     }
 
@@ -217,7 +217,7 @@
 
     /// True if `id` has started no response since `at_ms`.
     pub fn is_silent_since(&self, at_ms: u64, id: &str) -> bool {
-        self.endpoints.get(id).is_none_or(|known| known.waiting.is_silent_since(at_ms))
+        self.endpoints.get(id).is_none_or(|state| state.waiting.is_silent_since(at_ms))
     }
 
     /// Records a request that is sent to `id`; returns the number that identifies it.
@@ -230,16 +230,16 @@
     ) -> u64 {
         self.sends += 1;
         let mut reading_ms = 0.0;
-        if let Some(known) = self.endpoints.get_mut(id) {
-            known.own_running += 1;
-            let tokens = wanted.map_or(0, |wanted| known.unread_tokens(wanted));
-            reading_ms = known.pace(self.pace).reading_ms(tokens);
+        if let Some(state) = self.endpoints.get_mut(id) {
+            state.own_running += 1;
+            let tokens = wanted.map_or(0, |wanted| state.unread_tokens(wanted));
+            reading_ms = state.pace(self.pace).reading_ms(tokens);
             if let Some(wanted) = wanted {
-                known
+                state
                     .prefix_cache
                     .note(&wanted.prompt, wanted.memory_tokens / self.gateways.max(1) as u64);
             }
-            known.waiting.send(now_ms, self.sends, Prompt { tokens, reading_ms, is_late });
+            state.waiting.send(now_ms, self.sends, Prompt { tokens, reading_ms, is_late });
             self.loads_changed.insert(id.clone());
         }
         if let Some(wanted) = wanted {
@@ -259,59 +259,59 @@
         if let Some(name) = weights {
             self.uses.finish(id, name);
         }
-        if let Some(known) = self.endpoints.get_mut(id) {
-            known.own_running = known.own_running.saturating_sub(1);
-            known.waiting.end(now_ms, number);
+        if let Some(state) = self.endpoints.get_mut(id) {
+            state.own_running = state.own_running.saturating_sub(1);
+            state.waiting.end(now_ms, number);
             self.loads_changed.insert(id.clone());
         }
     }
 
     /// Records that `id` started its response to the request sent under `number`.
     pub fn answered(&mut self, now_ms: u64, id: &Arc<str>, number: u64) {
-        let Some(known) = self.endpoints.get_mut(id) else { return };
-        known.failures = 0;
-        if known.backoff.note_accepted(now_ms) {
+        let Some(state) = self.endpoints.get_mut(id) else { return };
+        state.failures = 0;
+        if state.backoff.note_accepted(now_ms) {
             info!(event = "endpoint_backoff_ended", endpoint = %id);
         }
-        known.waiting.answered(now_ms);
-        if let Some((tokens, took_ms)) = known.waiting.end(now_ms, number) {
+        state.waiting.answered(now_ms);
+        if let Some((tokens, took_ms)) = state.waiting.end(now_ms, number) {
             self.pace.note(tokens, took_ms);
-            if known.pace.noted() == 0 {
-                known.pace = ReadingPace::with_start(self.pace);
+            if state.pace.samples() == 0 {
+                state.pace = ReadingPace::with_start(self.pace);
             }
-            known.pace.note(tokens, took_ms);
+            state.pace.note(tokens, took_ms);
             self.loads_changed.insert(id.clone());
         }
     }
 
     /// Records that `id` refused a request because it is full.
     pub fn refused(&mut self, now_ms: u64, id: &str) {
-        if let Some(known) = self.endpoints.get_mut(id) {
-            known.closed_until_ms = known.closed_until_ms.max(now_ms + FULL_PAUSE_MS);
+        if let Some(state) = self.endpoints.get_mut(id) {
+            state.closed_until_ms = state.closed_until_ms.max(now_ms + FULL_PAUSE_MS);
         }
     }
 
     /// Starts or extends the backoff that `id` asked for; returns true if it was started.
     pub fn start_backoff(&mut self, now_ms: u64, id: &str, backoff_ms: u64) -> bool {
-        self.endpoints.get_mut(id).is_some_and(|known| known.backoff.start(now_ms, backoff_ms))
+        self.endpoints.get_mut(id).is_some_and(|state| state.backoff.start(now_ms, backoff_ms))
     }
 
     /// Marks `id` as leaving because it announced this in a response; returns true if it was not
     /// already leaving.
     pub fn mark_leaving(&mut self, now_ms: u64, id: &Arc<str>) -> bool {
-        let Some(known) = self.endpoints.get_mut(id) else { return false };
-        let is_new = !known.is_leaving(now_ms);
-        known.leaving_until_ms = now_ms + LEAVING_EXPIRY_MS;
+        let Some(state) = self.endpoints.get_mut(id) else { return false };
+        let is_new = !state.is_leaving(now_ms);
+        state.leaving_until_ms = now_ms + LEAVING_EXPIRY_MS;
         self.leaving.insert(id.clone());
         is_new
     }
 
     /// Records that no connection to `id` could be made.
     pub fn mark_unreachable(&mut self, now_ms: u64, id: &Arc<str>) {
-        if let Some(known) = self.endpoints.get_mut(id) {
-            let pause_ms = (FIRST_PAUSE_MS << known.failures.min(8)).min(PAUSE_MAX_MS);
-            known.failures += 1;
-            known.closed_until_ms = now_ms + pause_ms;
+        if let Some(state) = self.endpoints.get_mut(id) {
+            let pause_ms = (FIRST_PAUSE_MS << state.failures.min(8)).min(PAUSE_MAX_MS);
+            state.failures += 1;
+            state.closed_until_ms = now_ms + pause_ms;
             self.failing.insert(id.clone());
         }
     }
@@ -319,28 +319,28 @@
     /// Records that `id` broke off a response or answered wrongly. A single failure does not pause
     /// it.
     pub fn failed(&mut self, now_ms: u64, id: &Arc<str>) {
-        let Some(known) = self.endpoints.get_mut(id) else { return };
-        known.failures += 1;
-        if known.failures < FAILURES_TO_PAUSE {
+        let Some(state) = self.endpoints.get_mut(id) else { return };
+        state.failures += 1;
+        if state.failures < FAILURES_TO_PAUSE {
             return;
         }
-        known.closed_until_ms =
-            now_ms + (FIRST_PAUSE_MS << known.failures.min(8)).min(PAUSE_MAX_MS);
+        state.closed_until_ms =
+            now_ms + (FIRST_PAUSE_MS << state.failures.min(8)).min(PAUSE_MAX_MS);
         self.failing.insert(id.clone());
     }
 
     /// Records that `id` has ended; it can only come back as another incarnation.
     pub fn mark_ended(&mut self, now_ms: u64, id: &Arc<str>) {
-        let Some(known) = self.endpoints.get_mut(id) else { return };
-        known.failures += FAILURES_TO_PAUSE;
-        known.closed_until_ms = now_ms + PAUSE_MAX_MS;
+        let Some(state) = self.endpoints.get_mut(id) else { return };
+        state.failures += FAILURES_TO_PAUSE;
+        state.closed_until_ms = now_ms + PAUSE_MAX_MS;
         self.failing.insert(id.clone());
     }
 
     /// Returns a receiver that is notified when `id` is found to have ended.
     pub(super) fn watch_end(&mut self, id: &str) -> Option<watch::Receiver<IncarnationEnd>> {
-        let known = self.endpoints.get_mut(id)?;
-        let ended = known.ended.get_or_insert_with(|| watch::Sender::new(IncarnationEnd::None));
+        let state = self.endpoints.get_mut(id)?;
+        let ended = state.ended.get_or_insert_with(|| watch::Sender::new(IncarnationEnd::None));
         // A new request is being sent, so the endpoint may have recovered from a hang.
         ended.send_if_modified(|ended| {
             if *ended != IncarnationEnd::Replaced {
@@ -353,7 +353,7 @@
 
     /// Notifies the requests that await responses of `id` that it may have ended.
     pub(super) fn notify_possible_end(&self, id: &str, end: IncarnationEnd) {
-        let Some(ended) = self.endpoints.get(id).and_then(|known| known.ended.as_ref()) else {
+        let Some(ended) = self.endpoints.get(id).and_then(|state| state.ended.as_ref()) else {
             return;
         };
         ended.send_if_modified(|ended| {
@@ -388,7 +388,7 @@
 
     /// The registration of an endpoint.
     pub fn endpoint(&self, id: &str) -> Option<RegisteredEndpoint> {
-        self.endpoints.get(id).map(|known| known.endpoint.clone())
+        self.endpoints.get(id).map(|state| state.endpoint.clone())
     }
 
     /// Returns the changes since the last call.
@@ -397,8 +397,8 @@
         self.loads_changed.extend(self.limits.changed_demands(now_ms));
         for endpoint in self.loads_changed.drain() {
             let demand_per_min = self.limits.demand_per_min(&endpoint);
-            let known = self.endpoints.get(&endpoint);
-            let load = known.map(|known| known.load(demand_per_min)).unwrap_or_default();
+            let state = self.endpoints.get(&endpoint);
+            let load = state.map(|state| state.load(demand_per_min)).unwrap_or_default();
             loads.push(EndpointLoad { endpoint, load });
         }
         self.report_leaving(now_ms);
@@ -411,7 +411,7 @@
     /// leader places weights elsewhere even if no heartbeat announces it.
     fn report_leaving(&mut self, now_ms: u64) {
         let endpoints = &self.endpoints;
-        self.leaving.retain(|id| endpoints.get(id).is_some_and(|known| known.is_leaving(now_ms)));
+        self.leaving.retain(|id| endpoints.get(id).is_some_and(|state| state.is_leaving(now_ms)));
         let leaving: Vec<Arc<str>> = self.leaving.iter().cloned().collect();
         self.report_failing(now_ms, leaving);
     }
@@ -424,8 +424,8 @@
     /// This gateway's load on all endpoints, for a leader that does not know it.
     pub fn all_loads(&self) -> Vec<EndpointLoad> {
         let mut loads = Vec::new();
-        for (id, known) in &self.endpoints {
-            let load = known.load(self.limits.demand_per_min(id));
+        for (id, state) in &self.endpoints {
+            let load = state.load(self.limits.demand_per_min(id));
             if load != Load::default() {
                 loads.push(EndpointLoad { endpoint: id.clone(), load });
             }
--- a/src/relay/held.rs
+++ b/src/relay/held.rs
@@ -17,7 +17,7 @@
 
 /// The run time that is reported at least for a request whose response had not started. Otherwise a
 /// request sent while its endpoint was already ending would look as if it had crashed it at once.
-const NOT_BEGUN_MIN_MS: u64 = 200;
+const NOT_STARTED_RUN_MS: u64 = 200;
 /// The largest body that is hashed for the record of served contents while no request has a
 /// standing; the hash of a larger one costs too much CPU time.
 const SERVED_BODY_MAX_BYTES: usize = 64 << 10;
@@ -48,7 +48,7 @@
         if known.leaving {
             return;
         }
-        let least_ms = if self.response_started_at_ms.is_some() { 0 } else { NOT_BEGUN_MIN_MS };
+        let least_ms = if self.response_started_at_ms.is_some() { 0 } else { NOT_STARTED_RUN_MS };
         let suspect = Suspect {
             id: known.id.clone(),
             service: known.service.clone(),
@@ -121,7 +121,7 @@
     /// long enough.
     ///
     /// # Errors
-    /// / The request is held, because endpoints ended while they ran requests with the same
+    /// The request is held, because endpoints ended while they ran requests with the same
     /// content.
     pub(super) async fn obtain_permission(&mut self) -> Result<Permission, NotSent> {
         if self.relay.crashes.standings().is_empty() {
@@ -145,7 +145,7 @@
     /// Checks after a wait that the request is not held because of other attempts in the meantime.
     ///
     /// # Errors
-    /// / The request is held.
+    /// The request is held.
     pub(super) fn check_not_held(&self) -> Result<(), NotSent> {
         if self.relay.crashes.standings().is_empty() {
             return Ok(());
--- a/src/relay/known.rs
+++ b/src/relay/known.rs
@@ -33,7 +33,7 @@
     pub(super) failures: u32,
     pub(super) closed_until_ms: u64,
     pub(super) backoff: EndpointBackoff,
-    /// The time until which the endpoint counts as leaving because an answer announced it.
+    /// The time until which the endpoint counts as leaving because a response announced it.
     pub(super) leaving_until_ms: u64,
     /// Notifies the requests that await its responses when it has ended; created when a request is
     /// first sent there.
@@ -126,7 +126,7 @@
 
     /// The endpoint's own reading pace, or `usual` until enough responses were measured.
     pub(super) fn pace(&self, usual: ReadingPace) -> ReadingPace {
-        if self.pace.noted() < OWN_PACE_MIN_RESPONSES { usual } else { self.pace }
+        if self.pace.samples() < OWN_PACE_MIN_RESPONSES { usual } else { self.pace }
     }
 
     /// Estimates the cost of a request that is sent now.
@@ -149,7 +149,7 @@
         let wait_ms = self.waiting.wait_ms(now_ms);
         let rank = urgency.rank_after(wait_ms);
         let waits_ms = if rank == LATE_RANK { self.waiting.late_wait_ms(now_ms) } else { wait_ms };
-        // Slow reading raises the cost of long prompts most.
+        // An endpoint that reads slowly is worth its cost only for short prompts.
         CostEstimate { cost_ms: batch_ms + waits_ms + urgency.reading_ms, rank: Some(rank) }
     }
 }
--- a/src/relay/limits.rs
+++ b/src/relay/limits.rs
@@ -58,7 +58,7 @@
         self.gateways.note_confirmed(sent_at_ms);
     }
 
-    /// Applies the rate limit in an endpoint's answer to a request sent at `sent_at_ms`.
+    /// Applies the rate limit in an endpoint's response to a request sent at `sent_at_ms`.
     pub(super) fn note(
         &mut self,
         now_ms: u64,
@@ -120,7 +120,7 @@
         self.others.retain(|_, others| others.get(now_ms).is_some_and(|per_min| per_min > 0));
     }
 
-    /// Forgets an endpoint that is gone.
+    /// Removes a deregistered endpoint.
     pub(super) fn remove(&mut self, endpoint: &str) {
         self.by_endpoint.remove(endpoint);
         self.others.remove(endpoint);
--- a/src/relay/pick.rs
+++ b/src/relay/pick.rs
@@ -120,8 +120,8 @@
         draw: f64,
         found: &mut Found<'a>,
     ) {
-        let Some(known) = self.endpoints.get(id) else { return };
-        if known.is_leaving(self.now_ms) || &*known.endpoint.service != self.service {
+        let Some(state) = self.endpoints.get(id) else { return };
+        if state.is_leaving(self.now_ms) || &*state.endpoint.service != self.service {
             return;
         }
         found.up += 1;
@@ -139,26 +139,26 @@
         if self.counts_demand {
             limits.note_request(self.now_ms, id);
         }
-        if known.closed_until_ms > self.now_ms || known.is_full(self.wanted.is_some()) {
+        if state.closed_until_ms > self.now_ms || state.is_full(self.wanted.is_some()) {
             return;
         }
-        let backoff_ms = known.backoff.wait_ms(self.now_ms);
+        let backoff_ms = state.backoff.wait_ms(self.now_ms);
         let wait_ms = backoff_ms.max(limits.wait_ms(self.now_ms, id, draw));
         if wait_ms > 0 {
             let (id, in_backoff) = (id.clone(), backoff_ms > 0);
             found.throttled.push(ThrottledEndpoint { id, wait_ms, in_backoff });
             return;
         }
-        self.add_candidate(id, known, found);
+        self.add_candidate(id, state, found);
     }
 
-    fn add_candidate(&self, id: &Arc<str>, known: &'a EndpointState, found: &mut Found<'a>) {
+    fn add_candidate(&self, id: &Arc<str>, state: &'a EndpointState, found: &mut Found<'a>) {
         let CostEstimate { mut cost_ms, rank } =
-            known.estimate(self.now_ms, self.wanted, self.pace);
-        if *known.endpoint.zone == *self.zone {
+            state.estimate(self.now_ms, self.wanted, self.pace);
+        if *state.endpoint.zone == *self.zone {
             cost_ms -= ZONE_PREFERENCE_MS;
         }
-        let candidate = Candidate { cost_ms, rank, known };
+        let candidate = Candidate { cost_ms, rank, state };
         if !self.tried.contains(id) {
             found.candidates.push(candidate);
             return;
@@ -243,7 +243,7 @@
             choice::cheapest(&found.candidates)
         };
         if let Some(chosen) = best.or(found.best_tried) {
-            let id = chosen.known.endpoint.id.clone();
+            let id = chosen.state.endpoint.id.clone();
             let picked = picked_endpoint(chosen, search.homes, due);
             self.note_picked(now_ms, &id);
             return picked;
@@ -254,8 +254,8 @@
 
     fn note_picked(&mut self, now_ms: u64, id: &str) {
         self.limits.take(id);
-        if let Some(known) = self.endpoints.get_mut(id) {
-            known.backoff.note_sent(now_ms);
+        if let Some(state) = self.endpoints.get_mut(id) {
+            state.backoff.note_sent(now_ms);
         }
     }
 
@@ -302,7 +302,7 @@
         let Some(ids) = self.by_service.get(service) else { return false };
         for id in ids {
             let is_throttled = throttled.iter().any(|throttled| throttled.id == *id);
-            let is_leaving = self.endpoints.get(id).is_none_or(|known| known.is_leaving(now_ms));
+            let is_leaving = self.endpoints.get(id).is_none_or(|state| state.is_leaving(now_ms));
             if !is_throttled && !is_leaving {
                 return true;
             }
@@ -356,12 +356,12 @@
     homes: Option<&BTreeMap<Arc<str>, Holding>>,
     due: u64,
 ) -> Picked {
-    let Candidate { known, rank, cost_ms } = chosen;
-    let held = held_version(homes, &known.endpoint.id);
+    let Candidate { state, rank, cost_ms } = chosen;
+    let held = held_version(homes, &state.endpoint.id);
     Picked::Endpoint {
-        id: known.endpoint.id.clone(),
-        name: known.endpoint.name.clone(),
-        address: known.endpoint.address,
+        id: state.endpoint.id.clone(),
+        name: state.endpoint.name.clone(),
+        address: state.endpoint.address,
         // The endpoint refuses the request if it holds another version than recorded here.
         weights_version: held.filter(|_| due > 0),
         held_version: held,
--- a/src/relay/pool.rs
+++ b/src/relay/pool.rs
@@ -49,7 +49,7 @@
     /// Returns an idle connection to `address`, or a new one.
     ///
     /// # Errors
-    /// / A refusal: no connection could be made, so the request did not run.
+    /// A refusal: no connection could be made, so the request did not run.
     pub async fn connection(&self, address: SocketAddr) -> Result<Connection> {
         if let Some(connection) =
             self.idle().take(self.clock.now_ms(), address, SendRequest::is_ready)
@@ -104,7 +104,7 @@
 /// Sends `request` and waits for the response head.
 ///
 /// # Errors
-/// / The request got no response; the variant tells whether any of it was written.
+/// The request got no response; the variant tells whether any of it was written.
 pub async fn send(
     connection: &mut Connection,
     peer: &str,
--- a/src/relay/process.rs
+++ b/src/relay/process.rs
@@ -40,7 +40,7 @@
 /// Runs a relay until it is told to stop.
 ///
 /// # Errors
-/// / A listener cannot be opened, or the metrics or the signal handler cannot be set up.
+/// A listener cannot be opened, or the metrics or the signal handler cannot be set up.
 pub async fn run(
     settings: RelaySettings,
     platform_headers: Arc<dyn PlatformHeaders>,
--- a/src/relay/quota.rs
+++ b/src/relay/quota.rs
@@ -142,7 +142,7 @@
     /// Admits a request of `workspace` that names `tokens` tokens.
     ///
     /// # Errors
-    /// / The request exceeds the quota, or the remaining quota is unknown.
+    /// The request exceeds the quota, or the remaining quota is unknown.
     pub(super) async fn take(
         relay: &Arc<Relay>,
         workspace: &Workspace,
--- a/src/relay/standings.rs
+++ b/src/relay/standings.rs
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub struct Standings {
     gateway: Arc<str>,
-    known: HashMap<RequestKey, Entry>,
+    entries: HashMap<RequestKey, Entry>,
     /// Trials of this gateway that were used.
     tried: HashSet<RequestKey>,
     /// The number of requests that wait for a trial.
@@ -51,17 +51,17 @@
 impl Standings {
     /// Creates an empty set of standings for this `gateway`.
     pub fn new(gateway: Arc<str>) -> Self {
-        Self { gateway, known: HashMap::new(), tried: HashSet::new(), waiting: HashMap::new() }
+        Self { gateway, entries: HashMap::new(), tried: HashSet::new(), waiting: HashMap::new() }
     }
 
     /// True if no request is treated specially.
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.entries.is_empty()
     }
 
     /// True if the leader must be told when the request was served.
     pub fn is_watched(&self, key: &RequestKey) -> bool {
-        self.known.contains_key(key)
+        self.entries.contains_key(key)
     }
 
     /// Applies a decision of the leader; returns true for a trial of this gateway that no request
@@ -70,12 +70,12 @@
         let RequestStanding { key, standing, .. } = standing;
         self.tried.remove(&key);
         if standing == Standing::Cleared {
-            self.known.remove(&key);
+            self.entries.remove(&key);
             return false;
         }
         let is_own_trial =
             matches!(&standing, Standing::OnTrial { gateway, .. } if *gateway == self.gateway);
-        self.known.insert(key, Entry { standing, since_ms: now_ms });
+        self.entries.insert(key, Entry { standing, since_ms: now_ms });
         is_own_trial && !self.waiting.contains_key(&key)
     }
 
@@ -95,12 +95,12 @@
 
     /// Forgets all standings except those of `keys`, which are all that the leader has.
     pub fn keep_only(&mut self, keys: &HashSet<RequestKey>) {
-        self.known.retain(|key, _| keys.contains(key));
+        self.entries.retain(|key, _| keys.contains(key));
     }
 
     /// Whether a request may be sent.
     pub fn permission(&self, now_ms: u64, key: RequestKey) -> Permission {
-        let Some(Entry { standing, since_ms }) = self.known.get(&key) else {
+        let Some(Entry { standing, since_ms }) = self.entries.get(&key) else {
             return Permission::Unrestricted;
         };
         let age_ms = now_ms.saturating_sub(*since_ms);
@@ -124,7 +124,7 @@
 
     /// How long the request is still held; `None` if it is not held.
     pub fn held_for_ms(&self, now_ms: u64, key: &RequestKey) -> Option<u64> {
-        let Entry { standing: Standing::Held { for_ms, .. }, since_ms } = self.known.get(key)?
+        let Entry { standing: Standing::Held { for_ms, .. }, since_ms } = self.entries.get(key)?
         else {
             return None;
         };
@@ -134,7 +134,7 @@
     /// Takes the trial that the leader gave to this gateway; returns false if there is none or it
     /// was used.
     pub fn take_trial(&mut self, key: &RequestKey) -> bool {
-        let Some(Entry { standing: Standing::OnTrial { gateway, .. }, .. }) = self.known.get(key)
+        let Some(Entry { standing: Standing::OnTrial { gateway, .. }, .. }) = self.entries.get(key)
         else {
             return false;
         };
--- a/src/relay/waiting.rs
+++ b/src/relay/waiting.rs
@@ -19,13 +19,13 @@
 #[derive(Debug, Clone, Copy)]
 pub struct ReadingPace {
     token_us: f64,
-    noted: u32,
+    samples: u32,
 }
 
 impl ReadingPace {
     /// Creates the initial estimate.
     pub fn new() -> Self {
-        Self { token_us: INITIAL_TOKEN_US, noted: 0 }
+        Self { token_us: INITIAL_TOKEN_US, samples: 0 }
     }
 
     /// Learns from a prompt of `tokens` whose first token came after `took_ms`.
@@ -33,7 +33,7 @@
         if tokens < PACE_PROMPT_MIN_TOKENS {
             return;
         }
-        self.noted = self.noted.saturating_add(1);
+        self.samples = self.samples.saturating_add(1);
         let seen_us = took_ms as f64 * 1_000.0 / f64::from(tokens);
         let factor = if seen_us < self.token_us {
             1.0 - PACE_STEP * (1.0 - PACE_QUANTILE)
@@ -45,12 +45,12 @@
 
     /// Creates a pace that starts from the estimate of another one.
     pub fn with_start(start: Self) -> Self {
-        Self { token_us: start.token_us, noted: 0 }
+        Self { token_us: start.token_us, samples: 0 }
     }
 
     /// The number of responses that the pace was learned from.
-    pub fn noted(&self) -> u32 {
-        self.noted
+    pub fn samples(&self) -> u32 {
+        self.samples
     }
 
     /// The time to read `tokens`.
--- a/tests/clock.rs
+++ b/tests/clock.rs
@@ -22,7 +22,7 @@
 
 #[test]
 fn the_time_is_the_one_since_the_machine_started() {
-    let uptime = std::fs::read_to_string("/proc/uptime").expect("Linux tells it");
+    let uptime = std::fs::read_to_string("/proc/uptime").expect("/proc/uptime can be read");
     let uptime_s: f64 = uptime.split(' ').next().expect("a first number").parse().expect("seconds");
     let now_s = SinceBoot.now_ms() as f64 / 1_000.0;
     assert!((now_s - uptime_s).abs() < 0.5, "{now_s} and {uptime_s}");
@@ -50,7 +50,7 @@
         tokio::spawn(async move { clock.timeout_at(60_000, std::future::pending::<()>()).await });
     tokio::time::sleep(Duration::from_millis(20)).await;
     SOURCE.0.fetch_add(60_000, Ordering::SeqCst);
-    assert!(wait.await.expect("it does not panic").is_none());
+    assert!(wait.await.expect("the task does not panic").is_none());
     assert!(started.elapsed() < Duration::from_secs(2), "{:?}", started.elapsed());
 }
 
--- a/tests/leaving_endpoints.rs
+++ b/tests/leaving_endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoint selection with endpoints that announce in answers that they are leaving.
+//! Endpoint selection with endpoints that announce in responses that they are leaving.
 
 mod common;
 
@@ -19,7 +19,7 @@
     for now_ms in (0..60_000).step_by(100) {
         assert!(is_picked(&mut fleet, now_ms, "b"));
     }
-    // A registration that is not leaving does not override the answer.
+    // A registration that is not leaving does not override the response.
     fleet.register(endpoint("a", 0));
     assert!(is_picked(&mut fleet, 60_000, "b"));
     fleet.deregister("b");
--- a/tests/planned_stops.rs
+++ b/tests/planned_stops.rs
@@ -30,7 +30,7 @@
             answers.push(tokio::spawn(async move { stream_whole(&client, at, &body).await }));
         }
     }
-    wait_for("all answers run", async || {
+    wait_for("all responses have started", async || {
         let started: u64 = region.engines.iter().map(|engine| engine.counts().started).sum();
         started >= 8
     })
@@ -70,7 +70,7 @@
     let asker = region.callers((owner + 1) % 3);
     let client = region.client.clone();
     let answer = tokio::spawn(async move { post_report(&client, asker).await });
-    wait_for("the call runs", async || !region.plain.runs().is_empty()).await;
+    wait_for("the call is running", async || !region.plain.runs().is_empty()).await;
     region.gateways[owner].terminate();
     let status = region.gateways[owner].wait().await;
     assert_eq!(status.code(), Some(0));
@@ -89,7 +89,7 @@
     let asker = (owner + 1) % 3;
     let (client, at) = (region.client.clone(), region.callers(asker));
     let answer = tokio::spawn(async move { post_report(&client, at).await });
-    wait_for("the call runs", async || !region.plain.runs().is_empty()).await;
+    wait_for("the call is running", async || !region.plain.runs().is_empty()).await;
     region.gateways[asker].freeze();
     region.gateways[owner].terminate();
     let still = Duration::from_millis(1_500);
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -76,7 +76,11 @@
     fleet.register(endpoint("f", "far", 10));
     assert_eq!(picked(&mut fleet, 0, None).as_deref(), Some("n"));
     fleet.note_loads(0, vec![loaded("n", 3, 0)]);
-    assert_eq!(picked(&mut fleet, 0, None).as_deref(), Some("f"), "too much fuller to be worth it");
+    assert_eq!(
+        picked(&mut fleet, 0, None).as_deref(),
+        Some("f"),
+        "its load outweighs the zone preference"
+    );
 }
 
 #[test]
@@ -88,11 +92,15 @@
     place(&mut fleet, "n", Holding::Ready(1));
     place(&mut fleet, "f", Holding::Ready(1));
     let number = fleet.start(0, &"n".into(), Some(&wanted(9_000)), false);
-    assert_eq!(picked(&mut fleet, 1, Some(&name)).as_deref(), Some("f"), "a long prompt is read");
+    assert_eq!(picked(&mut fleet, 1, Some(&name)).as_deref(), Some("f"), "n reads a long prompt");
     fleet.answered(240, &"n".into(), number);
     assert_eq!(picked(&mut fleet, 240, Some(&name)).as_deref(), Some("n"));
     fleet.note_loads(0, vec![loaded("n", 1, 240)]);
-    assert_eq!(picked(&mut fleet, 240, Some(&name)).as_deref(), Some("f"), "another gateway's");
+    assert_eq!(
+        picked(&mut fleet, 240, Some(&name)).as_deref(),
+        Some("f"),
+        "n reads a prompt of another gateway"
+    );
 }
 
 #[test]
@@ -108,8 +116,8 @@
     for _ in 0..4_000 {
         *taken.entry(picked(&mut fleet, 0, None).unwrap()).or_insert(0) += 1;
     }
-    assert!(taken["a"] < 2_400, "the emptiest one is not taken by all: {taken:?}");
-    assert!(taken["a"] > taken["d"] * 2, "the fullest one is spared: {taken:?}");
+    assert!(taken["a"] < 2_400, "not all take the least loaded one: {taken:?}");
+    assert!(taken["a"] > taken["d"] * 2, "the most loaded one is taken least: {taken:?}");
 }
 
 #[test]
@@ -130,7 +138,7 @@
     assert!(waiting.wait_ms(1_500) >= 500.0, "nothing was answered for half a second");
     waiting.answered(1_501);
     waiting.end(1_501, 2);
-    assert!(waiting.wait_ms(1_600) < 1.0, "it answers; the first request may just be rare");
+    assert!(waiting.wait_ms(1_600) < 1.0, "the endpoint answers; only the first request is slow");
 }
 
 #[test]
@@ -138,7 +146,7 @@
     let mut waiting = UnansweredRequests::new();
     waiting.send(1_000, 1, waits(300.0));
     waiting.send(1_000, 2, Prompt { is_late: true, ..waits(400.0) });
-    assert_eq!(waiting.wait_ms(1_000) as u64, 300, "the late one is read last");
+    assert_eq!(waiting.wait_ms(1_000) as u64, 300, "the late request is read last");
     assert_eq!(waiting.late_wait_ms(1_000) as u64, 700);
 }
 
@@ -147,13 +155,13 @@
     let urgency = |reading_ms, left_ms| Urgency { priority: 1, left_ms, reading_ms };
     assert_eq!(urgency(300.0, 800.0).rank_after(600.0), LATE_RANK);
     assert_eq!(urgency(300.0, 0.0).rank_after(0.0), LATE_RANK);
-    assert_eq!(urgency(20.0, 0.0).rank_after(900.0), 1, "a short one holds up nobody");
+    assert_eq!(urgency(20.0, 0.0).rank_after(900.0), 1, "a short prompt delays no other");
     let ranks: Vec<u8> = [20.0, 100.0, 300.0, 700.0]
         .map(|reading_ms| urgency(reading_ms, 800.0).rank_after(0.0))
         .into();
     assert_eq!(ranks, [1, 2, 3, 4], "shorter prompts first");
     let last_in_time = Urgency { priority: 9, ..urgency(700.0, 800.0) }.rank_after(0.0);
-    assert!(last_in_time < LATE_RANK, "behind every request in time");
+    assert!(last_in_time < LATE_RANK, "late requests rank last");
 }
 
 #[test]
@@ -196,37 +204,41 @@
         PromptChain::new(weights, &parts)
     };
     let (one, other) = (adapter(), WeightsName::new("base", Some("other")));
-    let mut kept = PrefixCache::new();
-    kept.note(&chain(&one, &[1, 2, 3]), 1_000);
-    assert_eq!(kept.cached_tokens(&chain(&one, &[1, 2, 9])), 200);
-    assert_eq!(kept.cached_tokens(&chain(&one, &[2, 3])), 0, "only after the parts before");
-    assert_eq!(kept.cached_tokens(&chain(&other, &[1, 2, 3])), 0, "another adapter reads it anew");
-    kept.note(&chain(&one, &[1, 7]), 1_000);
-    kept.note(&chain(&one, &[11, 12, 13]), 500);
-    assert_eq!(kept.cached_tokens(&chain(&one, &[1, 2])), 100, "the unused ones gave way");
+    let mut cache = PrefixCache::new();
+    cache.note(&chain(&one, &[1, 2, 3]), 1_000);
+    assert_eq!(cache.cached_tokens(&chain(&one, &[1, 2, 9])), 200);
+    assert_eq!(cache.cached_tokens(&chain(&one, &[2, 3])), 0, "cached only after the parts before");
+    assert_eq!(cache.cached_tokens(&chain(&other, &[1, 2, 3])), 0, "the cache is per adapter");
+    cache.note(&chain(&one, &[1, 7]), 1_000);
+    cache.note(&chain(&one, &[11, 12, 13]), 500);
+    assert_eq!(
+        cache.cached_tokens(&chain(&one, &[1, 2])),
+        100,
+        "the least recently used parts are evicted"
+    );
     for id in 0..10_000 {
-        kept.note(&chain(&one, &[1, id]), 400);
+        cache.note(&chain(&one, &[1, id]), 400);
     }
-    assert_eq!(kept.cached_tokens(&chain(&one, &[1])), 100, "what is used again and again stays");
+    assert_eq!(cache.cached_tokens(&chain(&one, &[1])), 100, "a part in constant use stays");
 }
 
 #[test]
 fn absurd_parts_of_a_prompt_take_no_memory_and_break_nothing() {
-    let mut kept = PrefixCache::new();
+    let mut cache = PrefixCache::new();
     let largest = [PromptPart { id: 1, tokens: u32::MAX }, PromptPart { id: 2, tokens: u32::MAX }];
     let chain = PromptChain::new(&adapter(), &[largest[0], largest[1], largest[0]]);
-    kept.note(&chain, u64::MAX);
-    assert_eq!(kept.cached_tokens(&chain), u32::MAX);
+    cache.note(&chain, u64::MAX);
+    assert_eq!(cache.cached_tokens(&chain), u32::MAX);
     assert_eq!(chain.shared().map(|(_, tokens)| tokens), Some(u32::MAX));
-    let mut kept = PrefixCache::new();
+    let mut cache = PrefixCache::new();
     for round in 0..200 {
         let mut empty = Vec::new();
         for id in 0..1_000 {
             empty.push(PromptPart { id: round * 1_000 + id, tokens: 0 });
         }
-        kept.note(&PromptChain::new(&adapter(), &empty), 16_000);
+        cache.note(&PromptChain::new(&adapter(), &empty), 16_000);
     }
-    assert!(kept.len() <= 1_000, "{} parts are remembered", kept.len());
+    assert!(cache.len() <= 1_000, "{} parts are cached", cache.len());
 }
 
 #[test]
@@ -280,9 +292,9 @@
     let Picked::Endpoint { weights_version, .. } =
         fleet.pick(4_000, "quotes", Some(&wanted(0)), &[])
     else {
-        panic!("the new version is there");
+        panic!("an endpoint holds the new version");
     };
-    assert_eq!(weights_version, Some(2), "the endpoint is told which version it must have");
+    assert_eq!(weights_version, Some(2), "the request names the version");
 }
 
 #[test]
@@ -296,10 +308,10 @@
         used.first().map(|used| (used.requests, used.under_way))
     };
     assert_eq!(told(&mut fleet, 1_000), Some((1, 1)));
-    assert_eq!(told(&mut fleet, 1_040), None, "still in use, nothing new");
-    assert_eq!(told(&mut fleet, 2_000), Some((0, 1)), "the leader is reminded");
+    assert_eq!(told(&mut fleet, 1_040), None, "in use without changes");
+    assert_eq!(told(&mut fleet, 2_000), Some((0, 1)), "the full report repeats it");
     fleet.finish(2_010, &"n".into(), Some(&name), number);
-    assert_eq!(told(&mut fleet, 2_040), Some((0, 0)), "it has ended");
+    assert_eq!(told(&mut fleet, 2_040), Some((0, 0)), "the request has ended");
     assert_eq!(told(&mut fleet, 4_000), None);
 }
 
@@ -312,7 +324,7 @@
     fleet.mark_unreachable(0, &"n".into());
     assert_eq!(fleet.pick(0, "quotes", None, &[]), Picked::Full);
     assert_eq!(fleet.take_traffic(0).failing.len(), 1);
-    assert_eq!(picked(&mut fleet, 10_000, None).as_deref(), Some("n"), "it is tried again");
+    assert_eq!(picked(&mut fleet, 10_000, None).as_deref(), Some("n"), "the pause is over");
 }
 
 #[test]
@@ -382,9 +394,13 @@
     let mut idle = IdleConnections::new();
     idle.put(0, address, "first", Some(2_000));
     idle.put(0, address, "second", None);
-    assert_eq!(idle.take(1_000, address, |_| true), Some("second"), "the latest first");
-    assert_eq!(idle.take(1_000, address, |_| false), None, "one that is not ready stays");
-    assert_eq!(idle.take(1_900, address, |_| true), None, "it could be closed at any moment");
+    assert_eq!(idle.take(1_000, address, |_| true), Some("second"), "the most recently used first");
+    assert_eq!(idle.take(1_000, address, |_| false), None, "a connection that is not ready stays");
+    assert_eq!(
+        idle.take(1_900, address, |_| true),
+        None,
+        "the endpoint may close it at any moment"
+    );
 }
 
 #[test]
--- a/tests/renewed_versions.rs
+++ b/tests/renewed_versions.rs
@@ -131,7 +131,7 @@
     fleet.not_held("a", &adapter(), Some(1));
     assert_eq!(pick(&mut fleet, 5_000).as_deref(), Some("a"), "it holds version 2");
     fleet.not_held("a", &adapter(), Some(2));
-    assert_eq!(pick(&mut fleet, 5_000), None, "it does not hold what it was asked for");
+    assert_eq!(pick(&mut fleet, 5_000), None, "it does not hold the requested version");
 }
 
 #[test]
@@ -150,12 +150,16 @@
 #[test]
 fn what_was_sent_to_a_replaced_version_may_begin_for_a_bounded_time() {
     let mut fleet = fleet().with_version_within(5_000);
-    assert_eq!(fleet.begin_by_ms(0, &adapter(), 1), None, "nothing newer is known");
+    assert_eq!(fleet.begin_by_ms(0, &adapter(), 1), None, "no newer version is known");
     fleet.set_newest(1_000, adapter(), 2);
     assert_eq!(fleet.begin_by_ms(1_010, &adapter(), 1), Some(5_000));
     assert_eq!(fleet.begin_by_ms(1_010, &adapter(), 2), None, "it is the newest");
     fleet.set_newest(3_000, adapter(), 3);
-    assert_eq!(fleet.begin_by_ms(3_010, &adapter(), 2), Some(7_000), "each by its own age");
+    assert_eq!(
+        fleet.begin_by_ms(3_010, &adapter(), 2),
+        Some(7_000),
+        "each version has its own age"
+    );
     assert_eq!(fleet.begin_by_ms(3_010, &adapter(), 1), Some(3_010), "it was due before");
 }
 
@@ -166,7 +170,7 @@
     assert_eq!(fleet.begin_by_ms(700, &adapter(), 1), Some(700));
     let base = adapter().base();
     fleet.learn_newest(700, base.clone(), 2);
-    assert_eq!(fleet.begin_by_ms(700, &base, 1), None, "base models are served as they are held");
+    assert_eq!(fleet.begin_by_ms(700, &base, 1), None, "base models are served in any version");
 }
 
 /// The age of a version whose message was delayed counts from the last time at which the gateway
--- a/tests/retry_budget.rs
+++ b/tests/retry_budget.rs
@@ -125,7 +125,7 @@
 #[test]
 fn gateways_that_start_anew_keep_the_common_budget() {
     let cases = [
-        ("nobody is away", vec![]),
+        ("no outage", vec![]),
         (
             "60% are killed again and again",
             vec![
--- a/tests/standings.rs
+++ b/tests/standings.rs
@@ -79,9 +79,13 @@
     assert!(matches!(standings.permission(0, key()), Permission::Refused { .. }));
     standings.apply(0, told(on_trial("g1")));
     assert!(standings.take_trial(&key()));
-    assert!(!standings.take_trial(&key()), "it was used");
+    assert!(!standings.take_trial(&key()), "the trial was used");
     assert!(matches!(standings.permission(0, key()), Permission::Refused { .. }));
-    assert_eq!(standings.permission(2_000, key()), Permission::AskLeader, "it had no outcome");
+    assert_eq!(
+        standings.permission(2_000, key()),
+        Permission::AskLeader,
+        "the trial had no outcome"
+    );
 }
 
 /// Guards against a trial that no request uses: all other attempts are refused until it has an
@@ -89,9 +93,9 @@
 #[test]
 fn a_trial_that_no_request_waits_for_is_returned() {
     let mut standings = Standings::new("g1".into());
-    assert!(standings.apply(0, told(on_trial("g1"))), "nobody waits");
-    assert!(!standings.apply(0, told(on_trial("g2"))), "it is another gateway's");
-    assert!(!standings.apply(0, told(held(1_000))), "it is no trial");
+    assert!(standings.apply(0, told(on_trial("g1"))), "no request waits");
+    assert!(!standings.apply(0, told(on_trial("g2"))), "another gateway's trial");
+    assert!(!standings.apply(0, told(held(1_000))), "not a trial");
     standings.begin_wait(key());
     standings.begin_wait(key());
     standings.end_wait(&key());
@@ -100,7 +104,7 @@
     assert!(standings.take_trial(&key()));
     assert!(standings.has_used_trial(&key()));
     standings.end_wait(&key());
-    assert!(standings.apply(0, told(on_trial("g1"))), "nobody waits any more");
+    assert!(standings.apply(0, told(on_trial("g1"))), "no request waits any more");
 }
 
 /// Guards against requests that wait for a trial while another gateway has it.
@@ -135,7 +139,7 @@
     let mut state = State::new();
     let changes = set(&mut state, 1, held(10_000));
     assert!(matches!(&changes[..], [Change::Request(_)]));
-    let state_read = State::decode(&state.encode()).expect("it decodes");
+    let state_read = State::decode(&state.encode()).expect("the state decodes");
     assert_eq!(state_read.registry.standings().count(), 1);
     assert!(state_read.all_changes().iter().any(|change| matches!(change, Change::Request(_))));
     set(&mut state, 2, Standing::Cleared);
@@ -145,8 +149,8 @@
 #[test]
 fn a_snapshot_without_standings_is_read() {
     let encoded = State::new().encode();
-    let (last, before) = encoded.split_last().expect("it is not empty");
+    let (last, before) = encoded.split_last().expect("the encoding is not empty");
     assert_eq!(*last, 0, "no standings, which come last");
-    let state = State::decode(before).expect("it decodes");
+    let state = State::decode(before).expect("the state decodes");
     assert_eq!(state.registry.standings().count(), 0);
 }
