--- a/src/relay/crashes.rs
+++ b/src/relay/crashes.rs
@@ -34,7 +34,7 @@
     records: Mutex<CrashRecords>,
     served: Mutex<RecentlyServed>,
     suspects: mpsc::UnboundedSender<Suspect>,
-    up: mpsc::UnboundedSender<SessionUp>,
+    outgoing: mpsc::UnboundedSender<SessionUp>,
 }
 
 #[derive(Debug, Default)]
@@ -70,14 +70,14 @@
 
 impl CrashWatch {
     /// Creates an empty record. Endpoints to probe are sent to `suspects`, messages for the leader
-    /// to `up`.
+    /// to `outgoing`.
     pub(super) fn new(
         gateway: Arc<str>,
         suspects: mpsc::UnboundedSender<Suspect>,
-        up: mpsc::UnboundedSender<SessionUp>,
+        outgoing: mpsc::UnboundedSender<SessionUp>,
     ) -> Self {
         let standings = Mutex::new(Standings::new(gateway));
-        Self { standings, records: Mutex::default(), served: Mutex::default(), suspects, up }
+        Self { standings, records: Mutex::default(), served: Mutex::default(), suspects, outgoing }
     }
 
     pub(super) fn standings(&self) -> MutexGuard<'_, Standings> {
@@ -217,7 +217,7 @@
     /// Queues a message for the leader; it is sent with the next session if there is none now.
     pub(super) fn send_to_leader(&self, up: SessionUp) {
         // The receiver lives as long as the process.
-        let _ = self.up.send(up);
+        let _ = self.outgoing.send(up);
     }
 
     /// The recent crashes, for a leader that may not know them.
--- a/src/relay/session.rs
+++ b/src/relay/session.rs
@@ -162,7 +162,7 @@
                 send(&mut sender, &SessionUp::Needs(needs)).await?;
             }
             () = relay.quota.wanted.notified(), if is_welcome => {
-                ask_for_credit(relay, &mut sender).await?;
+                request_credit(relay, &mut sender).await?;
             }
             Some(result) = ordered.recv() => {
                 send(&mut sender, &SessionUp::Ordered(result)).await?;
@@ -172,7 +172,7 @@
                 if !loads.is_empty() || !used.is_empty() || !failing.is_empty() {
                     send(&mut sender, &SessionUp::Traffic { loads, used, failing }).await?;
                 }
-                ask_for_credit(relay, &mut sender).await?;
+                request_credit(relay, &mut sender).await?;
             }
             () = relay.clock.sleep_until(opened_at_ms + FIRST_MESSAGE_TIMEOUT_MS), if last_message_at_ms == opened_at_ms => {
                 return Err(Error::timeout("open session", address.to_string(), FIRST_MESSAGE_TIMEOUT_MS));
@@ -199,7 +199,7 @@
 }
 
 /// Requests the credit that requests wait for, or will soon need.
-async fn ask_for_credit(relay: &Relay, sender: &mut Sender<SessionUp>) -> Result<()> {
+async fn request_credit(relay: &Relay, sender: &mut Sender<SessionUp>) -> Result<()> {
     let asks = relay.quota.take_asks();
     if asks.is_empty() {
         return Ok(());
--- a/src/relay/uses.rs
+++ b/src/relay/uses.rs
@@ -32,19 +32,19 @@
 impl WeightsUses {
     /// Counts a request whose prompt takes `reading_ms` to read.
     pub(super) fn start(&mut self, endpoint: &Arc<str>, weights: &WeightsName, reading_ms: f64) {
-        let use_here = self.by_endpoint.entry((endpoint.clone(), weights.clone())).or_default();
-        use_here.under_way += 1;
-        use_here.sent += 1;
-        use_here.reading_ms += reading_ms;
-        use_here.changed = true;
+        let entry = self.by_endpoint.entry((endpoint.clone(), weights.clone())).or_default();
+        entry.under_way += 1;
+        entry.sent += 1;
+        entry.reading_ms += reading_ms;
+        entry.changed = true;
     }
 
     /// Counts a request that has ended.
     pub(super) fn finish(&mut self, endpoint: &Arc<str>, weights: &WeightsName) {
         let key = (endpoint.clone(), weights.clone());
-        let Some(use_here) = self.by_endpoint.get_mut(&key) else { return };
-        use_here.under_way = use_here.under_way.saturating_sub(1);
-        use_here.changed |= use_here.under_way == 0;
+        let Some(entry) = self.by_endpoint.get_mut(&key) else { return };
+        entry.under_way = entry.under_way.saturating_sub(1);
+        entry.changed |= entry.under_way == 0;
     }
 
     /// Returns the changes since the last call; every [`FULL_REPORT_INTERVAL_MS`] all uses, since
@@ -55,22 +55,22 @@
             self.full_report_at_ms = now_ms;
         }
         let mut used = Vec::new();
-        for ((endpoint, name), use_here) in &mut self.by_endpoint {
-            if !use_here.changed && !is_full_report {
+        for ((endpoint, name), entry) in &mut self.by_endpoint {
+            if !entry.changed && !is_full_report {
                 continue;
             }
             used.push(WeightsUse {
                 endpoint: endpoint.clone(),
                 name: name.clone(),
-                requests: use_here.sent,
-                reading_ms: use_here.reading_ms as u32,
-                under_way: use_here.under_way,
+                requests: entry.sent,
+                reading_ms: entry.reading_ms as u32,
+                under_way: entry.under_way,
             });
-            use_here.sent = 0;
-            use_here.reading_ms = 0.0;
-            use_here.changed = false;
+            entry.sent = 0;
+            entry.reading_ms = 0.0;
+            entry.changed = false;
         }
-        self.by_endpoint.retain(|_, use_here| use_here.under_way > 0);
+        self.by_endpoint.retain(|_, entry| entry.under_way > 0);
         used
     }
 
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -292,7 +292,7 @@
     let Picked::Endpoint { weights_version, .. } =
         fleet.pick(4_000, "quotes", Some(&wanted(0)), &[])
     else {
-        panic!("an endpoint holds the new version");
+        panic!("no endpoint with the new version was picked");
     };
     assert_eq!(weights_version, Some(2), "the request names the version");
 }
