--- a/src/relay/attempt.rs
+++ b/src/relay/attempt.rs
@@ -29,8 +29,7 @@
 /// How long a request waits for weights that are being loaded, in percent of the latency objective.
 const LOAD_WAIT_PERCENT: u64 = 180;
 
-/// How long a started response may bring no data before its endpoint is probed, and the interval of
-/// further probes.
+/// How long a started response may bring no data before its endpoint is probed.
 const SILENT_PROBE_MS: u64 = 400;
 /// The same for a response that has not started, while the endpoint starts no other response
 /// either.
--- a/src/relay/session.rs
+++ b/src/relay/session.rs
@@ -133,8 +133,7 @@
                         if !crashes.is_empty() {
                             send(&mut sender, &SessionUp::Crashes(crashes)).await?;
                         }
-                        // The gateway serves requests and sends orders only after its first
-                        // confirmed renewal.
+                        // Requests and orders wait for the first confirmed renewal.
                         renewals.reset_immediately();
                     }
                     SessionDown::Group(group) => {
--- a/tests/broken_off.rs
+++ b/tests/broken_off.rs
@@ -14,11 +14,11 @@
 use winchvane_standin::region::{Region, wait_for};
 
 /// Guards against a 502 `outcome_unknown` for a completion that may run again, sent while the other
-/// endpoint of the pool was about to come back. The owner decided whether to wait for an endpoint
-/// by the last attempt alone: it forgot that the first endpoint was unreachable, so the failure of
-/// the second one was final. Seen in 1 of 15 runs of
+/// endpoint of the pool was about to come back. Only the last attempt decided whether to wait for
+/// an endpoint that changes: the unreachable first endpoint was forgotten, so the failure of the
+/// second one was final. Seen in 1 of 15 runs of
 /// `an_endpoint_that_died_is_avoided_while_the_list_calls_it_live` beside 24 busy loops. In this
-/// test the log had `answer_failed` twice at the same endpoint, 250 ms apart, and then the 502,
+/// test the log had `answer_failed` twice at the same endpoint, 250 ms apart, and at once the 502,
 /// less than 60 ms after `endpoint_down` of the other one.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_broke_off_waits_for_an_endpoint_that_cannot_be_reached() {
--- a/tests/retry_random.rs
+++ b/tests/retry_random.rs
@@ -1,6 +1,7 @@
 //! The retries of all gateways together under random failures, with fixed seeds: processes are
 //! killed and frozen, gateways are cut off from control, added and removed, leaders change, and
-//! traffic bursts and stops. While endpoints refuse, every available retry is taken.
+//! traffic bursts and stops. After calm periods, while endpoints refuse, every available retry is
+//! taken.
 //!
 //! `WINCHVANE_SEEDS=2000 cargo test --release --test retry_random` runs longer.
 
