--- a/src/relay/fleet.rs
+++ b/src/relay/fleet.rs
@@ -1,4 +1,5 @@
-//! What a relay knows of endpoints, and which one gets a request.
+//! Tracks what a gateway knows of the endpoints: load, failures and the weights that each one
+//! holds.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -10,42 +11,45 @@
 use tracing::info;
 
 use super::border::RateLimit;
-use super::known::{IncarnationEnd, Known, Wanted};
+use super::known::{EndpointState, IncarnationEnd, Wanted};
 use super::limits::{EndpointLimits, LimitChange};
 use super::replaced::begin_within_ms;
-use super::uses::Uses;
+use super::uses::WeightsUses;
 use super::waiting::{Prompt, ReadingPace, UnreadMs};
 use crate::message::{
     EndpointLoad, Holding, Load, Placed, RegisteredEndpoint, WeightsName, WeightsUse,
 };
 use crate::policy::versions::{SENT_PERCENT, Versions};
 
-/// The first pause after an endpoint failed; doubled with each further failure in a row.
-const DOWN_MS: u64 = 400;
-/// The longest pause: an endpoint that came back under the same incarnation is missed this long.
-const DOWN_MAX_MS: u64 = 5_000;
-/// Failures in a row after which an endpoint that can be reached is left alone for a while.
-const FAILURES_TO_DOWN: u32 = 3;
-/// An endpoint that said it is full gets nothing for this long.
-const FULL_MS: u64 = 60;
-/// How long an endpoint counts as leaving after an answer announced it, so that one that announced
-/// it by mistake is used again.
+/// The first pause after an endpoint failed; doubled with each further consecutive failure.
+const FIRST_PAUSE_MS: u64 = 400;
+/// The longest pause. An endpoint that recovers under the same incarnation stays unused for up to
+/// this long.
+const PAUSE_MAX_MS: u64 = 5_000;
+/// Consecutive failures after which an endpoint that can be reached is paused.
+const FAILURES_TO_PAUSE: u32 = 3;
+/// How long an endpoint that reported itself full gets no requests.
+const FULL_PAUSE_MS: u64 = 60;
+/// How long an endpoint counts as leaving after a response announced it. The limit brings back an
+/// endpoint that announced it by mistake.
 const LEAVING_EXPIRY_MS: u64 = 600_000;
-/// How long after a version was replaced requests may begin on it, unless settings say otherwise.
+/// How long after a weights version was replaced requests may start on it, unless the settings
+/// differ.
 const VERSION_WITHIN_MS: u64 = 5_000;
 
-/// Registered endpoints with what this gateway knows of their load and weights.
+/// The registered endpoints with their load and weights as this gateway knows them.
 #[derive(Debug)]
 pub struct Fleet {
     pub(super) zone: Arc<str>,
-    pub(super) endpoints: HashMap<Arc<str>, Known>,
+    pub(super) endpoints: HashMap<Arc<str>, EndpointState>,
     pub(super) by_service: HashMap<Arc<str>, Vec<Arc<str>>>,
     pub(super) homes: HashMap<WeightsName, BTreeMap<Arc<str>, Holding>>,
     pub(super) versions: Versions,
-    /// For how long a request that was sent to a version may still begin on it once that is due.
+    /// How long a request that was sent to a version may take to start there once a newer version
+    /// is due.
     pub(super) begin_within_ms: u64,
     loads_changed: HashSet<Arc<str>>,
-    uses: Uses,
+    uses: WeightsUses,
     pub(super) failing: HashSet<Arc<str>>,
     pub(super) random: SmallRng,
     pub(super) gateways: usize,
@@ -54,23 +58,24 @@
     pub(super) limits: EndpointLimits,
     /// When each throttled or leaving endpoint was last reported as failing.
     pub(super) failing_reported_at_ms: HashMap<Arc<str>, u64>,
-    /// Endpoints that announced in an answer that they are leaving.
+    /// Endpoints that announced in a response that they are leaving.
     leaving: HashSet<Arc<str>>,
 }
 
-/// What goes through a gateway, as it tells the leader.
+/// A gateway's periodic traffic report to the leader.
 #[derive(Debug, Clone, Default)]
 pub struct Traffic {
-    /// What is under way, where it changed.
+    /// Endpoints whose load changed.
     pub loads: Vec<EndpointLoad>,
     /// Weights that were used.
     pub used: Vec<WeightsUse>,
-    /// Endpoints that could not be reached, or failed again and again.
+    /// Endpoints that could not be reached, failed repeatedly, or are throttled or leaving.
     pub failing: Vec<Arc<str>>,
 }
 
 impl Fleet {
-    /// No endpoints yet, for a gateway in `zone`; `seed` decides which endpoints are compared.
+    /// Creates a fleet without endpoints for a gateway in `zone`; `seed` decides which endpoints
+    /// are compared.
     pub fn new(zone: Arc<str>, seed: u64) -> Self {
         Self {
             zone,
@@ -80,7 +85,7 @@
             versions: Versions::new(VERSION_WITHIN_MS * SENT_PERCENT / 100),
             begin_within_ms: begin_within_ms(VERSION_WITHIN_MS),
             loads_changed: HashSet::new(),
-            uses: Uses::default(),
+            uses: WeightsUses::default(),
             failing: HashSet::new(),
             random: SmallRng::seed_from_u64(seed),
             gateways: 1,
@@ -92,49 +97,49 @@
         }
     }
 
-    /// Notes how many gateways there are.
+    /// Sets the number of gateways.
     pub fn set_gateways(&mut self, now_ms: u64, gateways: u32) {
         self.gateways = gateways as usize;
         self.limits.set_gateways(now_ms, gateways);
     }
 
-    /// Notes that the leader confirmed what this gateway sent at `sent_at_ms`.
-    pub fn confirmed(&mut self, sent_at_ms: u64) {
-        self.limits.confirmed(sent_at_ms);
+    /// Records that the leader confirmed a renewal that this gateway sent at `sent_at_ms`.
+    pub fn note_confirmed(&mut self, sent_at_ms: u64) {
+        self.limits.note_confirmed(sent_at_ms);
     }
 
-    /// Takes a registration over.
+    /// Adds or updates a registered endpoint.
     pub fn register(&mut self, endpoint: RegisteredEndpoint) {
-        if let Some(known) = self.endpoints.get_mut(&endpoint.id) {
-            known.endpoint = endpoint;
+        if let Some(state) = self.endpoints.get_mut(&endpoint.id) {
+            state.endpoint = endpoint;
             return;
         }
         let ids = self.by_service.entry(endpoint.service.clone()).or_default();
         ids.push(endpoint.id.clone());
-        self.endpoints.insert(endpoint.id.clone(), Known::new(endpoint));
+        self.endpoints.insert(endpoint.id.clone(), EndpointState::new(endpoint));
     }
 
-    /// Forgets an endpoint that is gone; its address is returned.
+    /// Removes an endpoint; returns its address.
     pub fn deregister(&mut self, id: &str) -> Option<SocketAddr> {
-        let known = self.endpoints.remove(id)?;
+        let state = self.endpoints.remove(id)?;
         self.limits.remove(id);
         self.failing_reported_at_ms.remove(id);
         self.leaving.remove(id);
-        if let Some(ids) = self.by_service.get_mut(&known.endpoint.service) {
-            ids.retain(|known| &**known != id);
+        if let Some(ids) = self.by_service.get_mut(&state.endpoint.service) {
+            ids.retain(|other| &**other != id);
         }
         for homes in self.homes.values_mut() {
             homes.remove(id);
         }
-        Some(known.endpoint.address)
+        Some(state.endpoint.address)
     }
 
-    /// Forgets the endpoints that `ids` does not name.
+    /// Removes all endpoints except `ids`.
     pub fn keep_only(&mut self, ids: &[Arc<str>]) {
-        let kept: HashSet<&Arc<str>> = ids.iter().collect();
+        let prefix_cache: HashSet<&Arc<str>> = ids.iter().collect();
         let mut gone = Vec::new();
         for id in self.endpoints.keys() {
-            if !kept.contains(id) {
+            if !prefix_cache.contains(id) {
                 gone.push(id.clone());
             }
         }
@@ -143,7 +148,7 @@
         }
     }
 
-    /// Takes over what endpoints hold.
+    /// Applies which weights endpoints hold; `reset` replaces everything known before.
     pub fn place(&mut self, reset: bool, placed: Vec<Placed>) {
         if reset {
             self.homes.clear();
@@ -157,9 +162,10 @@
         }
     }
 
-    /// Notes that an endpoint turned out not to hold `name` in the `version` that was known.
+    /// Records that an endpoint turned out not to hold `name` in the `version` that was known.
     ///
-    /// What was told of another version since, or of one on its way, stays: nobody tells it again.
+    /// A different version, or a load in progress, that was reported since stays recorded, because
+    /// it is not reported again.
     pub fn not_held(&mut self, endpoint: &str, name: &WeightsName, version: Option<u64>) {
         let Some(homes) = self.homes.get_mut(name) else { return };
         if homes.get(endpoint).copied() == version.map(Holding::Ready) {
@@ -167,29 +173,29 @@
         }
     }
 
-    /// Takes over what the other gateways have under way.
+    /// Applies the load of the other gateways.
     pub fn note_loads(&mut self, now_ms: u64, loads: Vec<EndpointLoad>) {
         for load in loads {
             self.limits.set_others(now_ms, &load.endpoint, load.load.demand_per_min);
-            if let Some(known) = self.endpoints.get_mut(&load.endpoint) {
-                known.others_running = load.load.running;
+            if let Some(state) = self.endpoints.get_mut(&load.endpoint) {
+                state.others_running = load.load.running;
                 let Load { waiting_ms, late_ms, .. } = load.load;
                 let others = UnreadMs { in_time: waiting_ms.into(), late: late_ms.into() };
-                known.waiting.set_others(others);
+                state.waiting.set_others(others);
             }
         }
     }
 
-    /// Forgets what the other gateways have under way; without a leader nobody tells when it ends.
+    /// Clears the load of the other gateways, which is not updated without a leader.
     pub fn forget_loads(&mut self, now_ms: u64) {
         self.limits.forget_others(now_ms);
-        for known in self.endpoints.values_mut() {
-            known.others_running = 0;
-            known.waiting.set_others(UnreadMs::default());
+        for state in self.endpoints.values_mut() {
+            state.others_running = 0;
+            state.waiting.set_others(UnreadMs::default());
         }
     }
 
-    /// Applies the rate limit in the answer of endpoint `id` to a request sent at `sent_at_ms`.
+    /// Applies the rate limit in the response of endpoint `id` to a request sent at `sent_at_ms`.
     pub fn note_limit(
         &mut self,
         now_ms: u64,
@@ -209,12 +215,12 @@
         change
     }
 
-    /// True when `id` began no answer since `at_ms`.
+    /// True if `id` has started no response since `at_ms`.
     pub fn is_silent_since(&self, at_ms: u64, id: &str) -> bool {
-        self.endpoints.get(id).is_none_or(|known| known.waiting.is_silent_since(at_ms))
+        self.endpoints.get(id).is_none_or(|state| state.waiting.is_silent_since(at_ms))
     }
 
-    /// Counts a request that is sent to `id`, late or not; returns its number.
+    /// Records a request that is sent to `id`; returns the number that identifies it.
     pub fn start(
         &mut self,
         now_ms: u64,
@@ -224,14 +230,16 @@
     ) -> u64 {
         self.sends += 1;
         let mut reading_ms = 0.0;
-        if let Some(known) = self.endpoints.get_mut(id) {
-            known.own_running += 1;
-            let tokens = wanted.map_or(0, |wanted| known.unread_tokens(wanted));
-            reading_ms = known.pace(self.pace).reading_ms(tokens);
+        if let Some(state) = self.endpoints.get_mut(id) {
+            state.own_running += 1;
+            let tokens = wanted.map_or(0, |wanted| state.unread_tokens(wanted));
+            reading_ms = state.pace(self.pace).reading_ms(tokens);
             if let Some(wanted) = wanted {
-                known.kept.note(&wanted.prompt, wanted.memory_tokens / self.gateways.max(1) as u64);
+                state
+                    .prefix_cache
+                    .note(&wanted.prompt, wanted.memory_tokens / self.gateways.max(1) as u64);
             }
-            known.waiting.send(now_ms, self.sends, Prompt { tokens, reading_ms, is_late });
+            state.waiting.send(now_ms, self.sends, Prompt { tokens, reading_ms, is_late });
             self.loads_changed.insert(id.clone());
         }
         if let Some(wanted) = wanted {
@@ -240,7 +248,7 @@
         self.sends
     }
 
-    /// Counts a request that has ended at `id`, under the number that it was sent with.
+    /// Records that the request sent to `id` under `number` has ended.
     pub fn finish(
         &mut self,
         now_ms: u64,
@@ -251,87 +259,89 @@
         if let Some(name) = weights {
             self.uses.finish(id, name);
         }
-        if let Some(known) = self.endpoints.get_mut(id) {
-            known.own_running = known.own_running.saturating_sub(1);
-            known.waiting.end(now_ms, number);
+        if let Some(state) = self.endpoints.get_mut(id) {
+            state.own_running = state.own_running.saturating_sub(1);
+            state.waiting.end(now_ms, number);
             self.loads_changed.insert(id.clone());
         }
     }
 
-    /// Notes that `id` began to answer the request sent under `number`.
+    /// Records that `id` started its response to the request sent under `number`.
     pub fn answered(&mut self, now_ms: u64, id: &Arc<str>, number: u64) {
-        let Some(known) = self.endpoints.get_mut(id) else { return };
-        known.failures = 0;
-        if known.backoff.note_accepted(now_ms) {
+        let Some(state) = self.endpoints.get_mut(id) else { return };
+        state.failures = 0;
+        if state.backoff.note_accepted(now_ms) {
             info!(event = "endpoint_backoff_ended", endpoint = %id);
         }
-        known.waiting.answered(now_ms);
-        if let Some((tokens, took_ms)) = known.waiting.end(now_ms, number) {
+        state.waiting.answered(now_ms);
+        if let Some((tokens, took_ms)) = state.waiting.end(now_ms, number) {
             self.pace.note(tokens, took_ms);
-            if known.pace.noted() == 0 {
-                known.pace = ReadingPace::with_start(self.pace);
+            if state.pace.samples() == 0 {
+                state.pace = ReadingPace::with_start(self.pace);
             }
-            known.pace.note(tokens, took_ms);
+            state.pace.note(tokens, took_ms);
             self.loads_changed.insert(id.clone());
         }
     }
 
-    /// Notes that `id` is full.
+    /// Records that `id` refused a request because it is full.
     pub fn refused(&mut self, now_ms: u64, id: &str) {
-        if let Some(known) = self.endpoints.get_mut(id) {
-            known.closed_until_ms = known.closed_until_ms.max(now_ms + FULL_MS);
+        if let Some(state) = self.endpoints.get_mut(id) {
+            state.closed_until_ms = state.closed_until_ms.max(now_ms + FULL_PAUSE_MS);
         }
     }
 
     /// Starts or extends the backoff that `id` asked for; returns true if it was started.
     pub fn start_backoff(&mut self, now_ms: u64, id: &str, backoff_ms: u64) -> bool {
-        self.endpoints.get_mut(id).is_some_and(|known| known.backoff.start(now_ms, backoff_ms))
+        self.endpoints.get_mut(id).is_some_and(|state| state.backoff.start(now_ms, backoff_ms))
     }
 
-    /// Marks `id` as leaving because it announced this in an answer; returns true if it was not
+    /// Marks `id` as leaving because it announced this in a response; returns true if it was not
     /// already leaving.
     pub fn mark_leaving(&mut self, now_ms: u64, id: &Arc<str>) -> bool {
-        let Some(known) = self.endpoints.get_mut(id) else { return false };
-        let is_new = !known.is_leaving(now_ms);
-        known.leaving_until_ms = now_ms + LEAVING_EXPIRY_MS;
+        let Some(state) = self.endpoints.get_mut(id) else { return false };
+        let is_new = !state.is_leaving(now_ms);
+        state.leaving_until_ms = now_ms + LEAVING_EXPIRY_MS;
         self.leaving.insert(id.clone());
         is_new
     }
 
-    /// Notes that `id` could not be reached.
-    pub fn unreachable(&mut self, now_ms: u64, id: &Arc<str>) {
-        if let Some(known) = self.endpoints.get_mut(id) {
-            let pause_ms = (DOWN_MS << known.failures.min(8)).min(DOWN_MAX_MS);
-            known.failures += 1;
-            known.closed_until_ms = now_ms + pause_ms;
+    /// Records that no connection to `id` could be made.
+    pub fn mark_unreachable(&mut self, now_ms: u64, id: &Arc<str>) {
+        if let Some(state) = self.endpoints.get_mut(id) {
+            let pause_ms = (FIRST_PAUSE_MS << state.failures.min(8)).min(PAUSE_MAX_MS);
+            state.failures += 1;
+            state.closed_until_ms = now_ms + pause_ms;
             self.failing.insert(id.clone());
         }
     }
 
-    /// Notes that `id` broke off or answered wrongly; once may be chance.
+    /// Records that `id` broke off a response or answered wrongly. A single failure does not pause
+    /// it.
     pub fn failed(&mut self, now_ms: u64, id: &Arc<str>) {
-        let Some(known) = self.endpoints.get_mut(id) else { return };
-        known.failures += 1;
-        if known.failures < FAILURES_TO_DOWN {
+        let Some(state) = self.endpoints.get_mut(id) else { return };
+        state.failures += 1;
+        if state.failures < FAILURES_TO_PAUSE {
             return;
         }
-        known.closed_until_ms = now_ms + (DOWN_MS << known.failures.min(8)).min(DOWN_MAX_MS);
+        state.closed_until_ms =
+            now_ms + (FIRST_PAUSE_MS << state.failures.min(8)).min(PAUSE_MAX_MS);
         self.failing.insert(id.clone());
     }
 
-    /// Notes that `id` has ended: it comes back as another incarnation, if at all.
-    pub fn ended(&mut self, now_ms: u64, id: &Arc<str>) {
-        let Some(known) = self.endpoints.get_mut(id) else { return };
-        known.failures += FAILURES_TO_DOWN;
-        known.closed_until_ms = now_ms + DOWN_MAX_MS;
+    /// Records that `id` has ended; it can only come back as another incarnation.
+    pub fn mark_ended(&mut self, now_ms: u64, id: &Arc<str>) {
+        let Some(state) = self.endpoints.get_mut(id) else { return };
+        state.failures += FAILURES_TO_PAUSE;
+        state.closed_until_ms = now_ms + PAUSE_MAX_MS;
         self.failing.insert(id.clone());
     }
 
-    /// Tells when `id` is found to have ended.
+    /// Returns a receiver that is notified when `id` is found to have ended.
     pub(super) fn watch_end(&mut self, id: &str) -> Option<watch::Receiver<IncarnationEnd>> {
-        let known = self.endpoints.get_mut(id)?;
-        let ended = known.ended.get_or_insert_with(|| watch::Sender::new(IncarnationEnd::None));
-        // Requests are sent to it again: it may have stood still only.
+        let state = self.endpoints.get_mut(id)?;
+        let ended = state.ended.get_or_insert_with(|| watch::Sender::new(IncarnationEnd::None));
+        // A new request is being sent, so the endpoint may have recovered from a hang.
         ended.send_if_modified(|ended| {
             if *ended != IncarnationEnd::Replaced {
                 *ended = IncarnationEnd::None;
@@ -341,9 +351,9 @@
         Some(ended.subscribe())
     }
 
-    /// Tells those that wait for answers of `id` that it may have ended.
-    pub(super) fn may_have_ended(&self, id: &str, end: IncarnationEnd) {
-        let Some(ended) = self.endpoints.get(id).and_then(|known| known.ended.as_ref()) else {
+    /// Notifies the requests that await responses of `id` that it may have ended.
+    pub(super) fn notify_possible_end(&self, id: &str, end: IncarnationEnd) {
+        let Some(ended) = self.endpoints.get(id).and_then(|state| state.ended.as_ref()) else {
             return;
         };
         ended.send_if_modified(|ended| {
@@ -353,8 +363,8 @@
         });
     }
 
-    /// The known endpoints that have ended, since `registered` have their names or addresses; whoever waits
-    /// for their answers is told.
+    /// Returns the known endpoints that `registered` replaces, by name or address, and notifies the
+    /// requests that await their responses.
     pub fn replaced_by(&mut self, registered: &[&RegisteredEndpoint]) -> Vec<RegisteredEndpoint> {
         let is_new = |endpoint: &&&RegisteredEndpoint| !self.endpoints.contains_key(&endpoint.id);
         let new: Vec<_> = registered.iter().filter(is_new).collect();
@@ -364,7 +374,7 @@
         let names: HashSet<&str> = new.iter().map(|endpoint| &*endpoint.name).collect();
         let addresses: HashSet<SocketAddr> = new.iter().map(|endpoint| endpoint.address).collect();
         let mut replaced = Vec::new();
-        for Known { endpoint, ended, .. } in self.endpoints.values() {
+        for EndpointState { endpoint, ended, .. } in self.endpoints.values() {
             if !names.contains(&*endpoint.name) && !addresses.contains(&endpoint.address) {
                 continue;
             }
@@ -376,19 +386,19 @@
         replaced
     }
 
-    /// An endpoint as it registered.
+    /// The registration of an endpoint.
     pub fn endpoint(&self, id: &str) -> Option<RegisteredEndpoint> {
-        self.endpoints.get(id).map(|known| known.endpoint.clone())
+        self.endpoints.get(id).map(|state| state.endpoint.clone())
     }
 
-    /// What changed since the last call.
+    /// Returns the changes since the last call.
     pub fn take_traffic(&mut self, now_ms: u64) -> Traffic {
         let mut loads = Vec::new();
         self.loads_changed.extend(self.limits.changed_demands(now_ms));
         for endpoint in self.loads_changed.drain() {
             let demand_per_min = self.limits.demand_per_min(&endpoint);
-            let known = self.endpoints.get(&endpoint);
-            let load = known.map(|known| known.load(demand_per_min)).unwrap_or_default();
+            let state = self.endpoints.get(&endpoint);
+            let load = state.map(|state| state.load(demand_per_min)).unwrap_or_default();
             loads.push(EndpointLoad { endpoint, load });
         }
         self.report_leaving(now_ms);
@@ -397,25 +407,25 @@
         Traffic { loads, used, failing }
     }
 
-    /// Reports endpoints that announced in an answer that they are leaving as failing, so that the
+    /// Reports endpoints that announced in a response that they are leaving as failing, so that the
     /// leader places weights elsewhere even if no heartbeat announces it.
     fn report_leaving(&mut self, now_ms: u64) {
         let endpoints = &self.endpoints;
-        self.leaving.retain(|id| endpoints.get(id).is_some_and(|known| known.is_leaving(now_ms)));
+        self.leaving.retain(|id| endpoints.get(id).is_some_and(|state| state.is_leaving(now_ms)));
         let leaving: Vec<Arc<str>> = self.leaving.iter().cloned().collect();
         self.report_failing(now_ms, leaving);
     }
 
-    /// Tells all uses the next time, to a leader that knows nothing.
-    pub fn forget_uses_told(&mut self) {
-        self.uses.forget_told();
+    /// Makes the next report include all weights in use, for a leader that knows none of them.
+    pub fn request_full_uses(&mut self) {
+        self.uses.force_full_report();
     }
 
-    /// What this gateway has under way everywhere, for a leader that does not know it.
+    /// This gateway's load on all endpoints, for a leader that does not know it.
     pub fn all_loads(&self) -> Vec<EndpointLoad> {
         let mut loads = Vec::new();
-        for (id, known) in &self.endpoints {
-            let load = known.load(self.limits.demand_per_min(id));
+        for (id, state) in &self.endpoints {
+            let load = state.load(self.limits.demand_per_min(id));
             if load != Load::default() {
                 loads.push(EndpointLoad { endpoint: id.clone(), load });
             }
@@ -423,12 +433,12 @@
         loads
     }
 
-    /// How many endpoints are known.
+    /// The number of known endpoints.
     pub fn len(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// True when no endpoint is known.
+    /// True if no endpoint is known.
     pub fn is_empty(&self) -> bool {
         self.endpoints.is_empty()
     }
--- a/tests/clock.rs
+++ b/tests/clock.rs
@@ -1,7 +1,8 @@
-//! Time that passes while the machine is suspended.
+//! Leases and deadlines while the machine is suspended.
 //!
-//! The steady clock and the runtime's timers stand still then, so that a lease looked younger than it was and a deadline further
-//! off. No test can suspend the machine: here the source of the time jumps, as it does across a suspension.
+//! The monotonic clock and the runtime's timers stop during a suspension, which made leases look
+//! younger and deadlines further off than they were. A test cannot suspend the machine, so the time
+//! source jumps here as it does across a suspension.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
@@ -9,7 +10,7 @@
 use winchvane::clock::{Clock, SinceBoot, TimeSource};
 use winchvane::relay::{ORDER_HOLD_MS, OrderLease};
 
-/// A source that stands still but for jumps.
+/// A time source that moves only in jumps.
 #[derive(Debug)]
 struct Jumps(AtomicU64);
 
@@ -21,7 +22,7 @@
 
 #[test]
 fn the_time_is_the_one_since_the_machine_started() {
-    let uptime = std::fs::read_to_string("/proc/uptime").expect("Linux tells it");
+    let uptime = std::fs::read_to_string("/proc/uptime").expect("/proc/uptime can be read");
     let uptime_s: f64 = uptime.split(' ').next().expect("a first number").parse().expect("seconds");
     let now_s = SinceBoot.now_ms() as f64 / 1_000.0;
     assert!((now_s - uptime_s).abs() < 0.5, "{now_s} and {uptime_s}");
@@ -49,7 +50,7 @@
         tokio::spawn(async move { clock.timeout_at(60_000, std::future::pending::<()>()).await });
     tokio::time::sleep(Duration::from_millis(20)).await;
     SOURCE.0.fetch_add(60_000, Ordering::SeqCst);
-    assert!(wait.await.expect("it does not panic").is_none());
+    assert!(wait.await.expect("the task does not panic").is_none());
     assert!(started.elapsed() < Duration::from_secs(2), "{:?}", started.elapsed());
 }
 
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -1,10 +1,11 @@
-//! The parts of a relay that decide: which endpoint, which retries, which events.
+//! The selection of endpoints and the other decisions of a relay: retries, event splitting,
+//! connection reuse.
 
 use winchvane::message::{EndpointLoad, Holding, Load, Placed, RegisteredEndpoint, WeightsName};
 use winchvane::policy::rank::{LATE_RANK, Urgency};
 use winchvane::relay::{
-    EventSplitter, Fleet, IdleConnections, KeptPrompts, Picked, Prompt, PromptChain, PromptPart,
-    ReadingPace, RetryBudget, Waiting, Wanted, reconnect_max_ms,
+    EventSplitter, Fleet, IdleConnections, Picked, PrefixCache, Prompt, PromptChain, PromptPart,
+    ReadingPace, RetryBudget, UnansweredRequests, Wanted, reconnect_max_ms,
 };
 
 fn endpoint(id: &str, zone: &str, slots: u32) -> RegisteredEndpoint {
@@ -32,7 +33,7 @@
     EndpointLoad { endpoint: id.into(), load: Load { running, waiting_ms, ..Load::default() } }
 }
 
-/// A request with a prompt of `tokens` and a second left until its objective.
+/// A request with a prompt of `tokens` and one second left until its latency objective.
 fn wanted(tokens: u32) -> Wanted {
     Wanted {
         weights: adapter(),
@@ -44,7 +45,8 @@
     }
 }
 
-/// The same whose prompt has these parts of 4,000 tokens each, and 1,000 of its own.
+/// A request whose prompt has the given shared parts of 4,000 tokens each, and 1,000 tokens of its
+/// own.
 fn wanted_with(parts: &[u64]) -> Wanted {
     let mut told = Vec::new();
     for id in parts {
@@ -74,7 +76,11 @@
     fleet.register(endpoint("f", "far", 10));
     assert_eq!(picked(&mut fleet, 0, None).as_deref(), Some("n"));
     fleet.note_loads(0, vec![loaded("n", 3, 0)]);
-    assert_eq!(picked(&mut fleet, 0, None).as_deref(), Some("f"), "too much fuller to be worth it");
+    assert_eq!(
+        picked(&mut fleet, 0, None).as_deref(),
+        Some("f"),
+        "its load outweighs the zone preference"
+    );
 }
 
 #[test]
@@ -86,11 +92,15 @@
     place(&mut fleet, "n", Holding::Ready(1));
     place(&mut fleet, "f", Holding::Ready(1));
     let number = fleet.start(0, &"n".into(), Some(&wanted(9_000)), false);
-    assert_eq!(picked(&mut fleet, 1, Some(&name)).as_deref(), Some("f"), "a long prompt is read");
+    assert_eq!(picked(&mut fleet, 1, Some(&name)).as_deref(), Some("f"), "n reads a long prompt");
     fleet.answered(240, &"n".into(), number);
     assert_eq!(picked(&mut fleet, 240, Some(&name)).as_deref(), Some("n"));
     fleet.note_loads(0, vec![loaded("n", 1, 240)]);
-    assert_eq!(picked(&mut fleet, 240, Some(&name)).as_deref(), Some("f"), "another gateway's");
+    assert_eq!(
+        picked(&mut fleet, 240, Some(&name)).as_deref(),
+        Some("f"),
+        "n reads a prompt of another gateway"
+    );
 }
 
 #[test]
@@ -106,8 +116,8 @@
     for _ in 0..4_000 {
         *taken.entry(picked(&mut fleet, 0, None).unwrap()).or_insert(0) += 1;
     }
-    assert!(taken["a"] < 2_400, "the emptiest one is not taken by all: {taken:?}");
-    assert!(taken["a"] > taken["d"] * 2, "the fullest one is spared: {taken:?}");
+    assert!(taken["a"] < 2_400, "not all take the least loaded one: {taken:?}");
+    assert!(taken["a"] > taken["d"] * 2, "the most loaded one is taken least: {taken:?}");
 }
 
 #[test]
@@ -122,21 +132,21 @@
 
 #[test]
 fn requests_go_around_an_endpoint_that_answers_nothing() {
-    let mut waiting = Waiting::new();
+    let mut waiting = UnansweredRequests::new();
     waiting.send(1_000, 1, waits(0.0));
     waiting.send(1_100, 2, waits(0.0));
     assert!(waiting.wait_ms(1_500) >= 500.0, "nothing was answered for half a second");
     waiting.answered(1_501);
     waiting.end(1_501, 2);
-    assert!(waiting.wait_ms(1_600) < 1.0, "it answers; the first request may just be rare");
+    assert!(waiting.wait_ms(1_600) < 1.0, "the endpoint answers; only the first request is slow");
 }
 
 #[test]
 fn late_requests_hold_up_no_others() {
-    let mut waiting = Waiting::new();
+    let mut waiting = UnansweredRequests::new();
     waiting.send(1_000, 1, waits(300.0));
     waiting.send(1_000, 2, Prompt { is_late: true, ..waits(400.0) });
-    assert_eq!(waiting.wait_ms(1_000) as u64, 300, "the late one is read last");
+    assert_eq!(waiting.wait_ms(1_000) as u64, 300, "the late request is read last");
     assert_eq!(waiting.late_wait_ms(1_000) as u64, 700);
 }
 
@@ -145,13 +155,13 @@
     let urgency = |reading_ms, left_ms| Urgency { priority: 1, left_ms, reading_ms };
     assert_eq!(urgency(300.0, 800.0).rank_after(600.0), LATE_RANK);
     assert_eq!(urgency(300.0, 0.0).rank_after(0.0), LATE_RANK);
-    assert_eq!(urgency(20.0, 0.0).rank_after(900.0), 1, "a short one holds up nobody");
+    assert_eq!(urgency(20.0, 0.0).rank_after(900.0), 1, "a short prompt delays no other");
     let ranks: Vec<u8> = [20.0, 100.0, 300.0, 700.0]
         .map(|reading_ms| urgency(reading_ms, 800.0).rank_after(0.0))
         .into();
     assert_eq!(ranks, [1, 2, 3, 4], "shorter prompts first");
     let last_in_time = Urgency { priority: 9, ..urgency(700.0, 800.0) }.rank_after(0.0);
-    assert!(last_in_time < LATE_RANK, "behind every request in time");
+    assert!(last_in_time < LATE_RANK, "late requests rank last");
 }
 
 #[test]
@@ -194,37 +204,41 @@
         PromptChain::new(weights, &parts)
     };
     let (one, other) = (adapter(), WeightsName::new("base", Some("other")));
-    let mut kept = KeptPrompts::new();
-    kept.note(&chain(&one, &[1, 2, 3]), 1_000);
-    assert_eq!(kept.kept_tokens(&chain(&one, &[1, 2, 9])), 200);
-    assert_eq!(kept.kept_tokens(&chain(&one, &[2, 3])), 0, "only after the parts before");
-    assert_eq!(kept.kept_tokens(&chain(&other, &[1, 2, 3])), 0, "another adapter reads it anew");
-    kept.note(&chain(&one, &[1, 7]), 1_000);
-    kept.note(&chain(&one, &[11, 12, 13]), 500);
-    assert_eq!(kept.kept_tokens(&chain(&one, &[1, 2])), 100, "the unused ones gave way");
+    let mut cache = PrefixCache::new();
+    cache.note(&chain(&one, &[1, 2, 3]), 1_000);
+    assert_eq!(cache.cached_tokens(&chain(&one, &[1, 2, 9])), 200);
+    assert_eq!(cache.cached_tokens(&chain(&one, &[2, 3])), 0, "cached only after the parts before");
+    assert_eq!(cache.cached_tokens(&chain(&other, &[1, 2, 3])), 0, "the cache is per adapter");
+    cache.note(&chain(&one, &[1, 7]), 1_000);
+    cache.note(&chain(&one, &[11, 12, 13]), 500);
+    assert_eq!(
+        cache.cached_tokens(&chain(&one, &[1, 2])),
+        100,
+        "the least recently used parts are evicted"
+    );
     for id in 0..10_000 {
-        kept.note(&chain(&one, &[1, id]), 400);
+        cache.note(&chain(&one, &[1, id]), 400);
     }
-    assert_eq!(kept.kept_tokens(&chain(&one, &[1])), 100, "what is used again and again stays");
+    assert_eq!(cache.cached_tokens(&chain(&one, &[1])), 100, "a part in constant use stays");
 }
 
 #[test]
 fn absurd_parts_of_a_prompt_take_no_memory_and_break_nothing() {
-    let mut kept = KeptPrompts::new();
+    let mut cache = PrefixCache::new();
     let largest = [PromptPart { id: 1, tokens: u32::MAX }, PromptPart { id: 2, tokens: u32::MAX }];
     let chain = PromptChain::new(&adapter(), &[largest[0], largest[1], largest[0]]);
-    kept.note(&chain, u64::MAX);
-    assert_eq!(kept.kept_tokens(&chain), u32::MAX);
+    cache.note(&chain, u64::MAX);
+    assert_eq!(cache.cached_tokens(&chain), u32::MAX);
     assert_eq!(chain.shared().map(|(_, tokens)| tokens), Some(u32::MAX));
-    let mut kept = KeptPrompts::new();
+    let mut cache = PrefixCache::new();
     for round in 0..200 {
         let mut empty = Vec::new();
         for id in 0..1_000 {
             empty.push(PromptPart { id: round * 1_000 + id, tokens: 0 });
         }
-        kept.note(&PromptChain::new(&adapter(), &empty), 16_000);
+        cache.note(&PromptChain::new(&adapter(), &empty), 16_000);
     }
-    assert!(kept.len() <= 1_000, "{} parts are remembered", kept.len());
+    assert!(cache.len() <= 1_000, "{} parts are cached", cache.len());
 }
 
 #[test]
@@ -278,9 +292,9 @@
     let Picked::Endpoint { weights_version, .. } =
         fleet.pick(4_000, "quotes", Some(&wanted(0)), &[])
     else {
-        panic!("the new version is there");
+        panic!("no endpoint with the new version was picked");
     };
-    assert_eq!(weights_version, Some(2), "the endpoint is told which version it must have");
+    assert_eq!(weights_version, Some(2), "the request names the version");
 }
 
 #[test]
@@ -294,10 +308,10 @@
         used.first().map(|used| (used.requests, used.under_way))
     };
     assert_eq!(told(&mut fleet, 1_000), Some((1, 1)));
-    assert_eq!(told(&mut fleet, 1_040), None, "still in use, nothing new");
-    assert_eq!(told(&mut fleet, 2_000), Some((0, 1)), "the leader is reminded");
+    assert_eq!(told(&mut fleet, 1_040), None, "in use without changes");
+    assert_eq!(told(&mut fleet, 2_000), Some((0, 1)), "the full report repeats it");
     fleet.finish(2_010, &"n".into(), Some(&name), number);
-    assert_eq!(told(&mut fleet, 2_040), Some((0, 0)), "it has ended");
+    assert_eq!(told(&mut fleet, 2_040), Some((0, 0)), "the request has ended");
     assert_eq!(told(&mut fleet, 4_000), None);
 }
 
@@ -307,10 +321,10 @@
     fleet.register(endpoint("n", "near", 4));
     fleet.failed(0, &"n".into());
     assert_eq!(picked(&mut fleet, 0, None).as_deref(), Some("n"));
-    fleet.unreachable(0, &"n".into());
+    fleet.mark_unreachable(0, &"n".into());
     assert_eq!(fleet.pick(0, "quotes", None, &[]), Picked::Full);
     assert_eq!(fleet.take_traffic(0).failing.len(), 1);
-    assert_eq!(picked(&mut fleet, 10_000, None).as_deref(), Some("n"), "it is tried again");
+    assert_eq!(picked(&mut fleet, 10_000, None).as_deref(), Some("n"), "the pause is over");
 }
 
 #[test]
@@ -352,25 +366,25 @@
     events.drop_partial();
     assert_eq!(events.push(b"id: 2\ndata: b\n\n").as_deref(), Some(&b"id: 2\ndata: b\n\n"[..]));
     assert_eq!(events.last_event(), Some(2));
-    assert_eq!(events.take_rest(), None);
+    assert_eq!(events.take_remainder(), None);
 }
 
-/// What users could see: a stream taken up within an event above 1 MiB, whose rest was missing.
-/// Cause: such an event is passed on in parts, and its number counted as had with the first of them.
-/// Evidence: found by reading; `last_event` is 2 below while only a part of event 2 was given out.
+/// Guards against a stream that was resumed inside an event above 1 MiB, whose rest was then
+/// missing. Such an event is forwarded in parts, and its id counted as received with the first
+/// part: below `last_event` is 2 while only a part of event 2 was returned.
 #[test]
 fn a_stream_is_not_taken_up_within_an_event() {
     let mut events = EventSplitter::new(None);
     events.push(b"id: 1\ndata: a\n\n").expect("a whole event");
-    assert!(events.can_be_taken_up());
+    assert!(events.is_at_event_boundary());
     let mut large = b"id: 2\ndata: ".to_vec();
     large.resize(2 << 20, b'x');
     assert!(events.push(&large).is_some(), "a part of it");
     events.drop_partial();
-    assert!(!events.can_be_taken_up());
+    assert!(!events.is_at_event_boundary());
     assert!(events.push(b"the rest\n\nid: 3\n").is_some(), "its end");
     events.drop_partial();
-    assert!(events.can_be_taken_up());
+    assert!(events.is_at_event_boundary());
     assert_eq!(events.last_event(), Some(2));
 }
 
@@ -380,13 +394,18 @@
     let mut idle = IdleConnections::new();
     idle.put(0, address, "first", Some(2_000));
     idle.put(0, address, "second", None);
-    assert_eq!(idle.take(1_000, address, |_| true), Some("second"), "the latest first");
-    assert_eq!(idle.take(1_000, address, |_| false), None, "one that is not ready stays");
-    assert_eq!(idle.take(1_900, address, |_| true), None, "it could be closed at any moment");
+    assert_eq!(idle.take(1_000, address, |_| true), Some("second"), "the most recently used first");
+    assert_eq!(idle.take(1_000, address, |_| false), None, "a connection that is not ready stays");
+    assert_eq!(
+        idle.take(1_900, address, |_| true),
+        None,
+        "the endpoint may close it at any moment"
+    );
 }
 
 #[test]
 fn a_gateway_finds_the_next_leader_while_a_change_may_still_be_late() {
-    // Two replicas may be cut off; the users allow two seconds from an acknowledgement on.
+    // Two replicas may be cut off; a change must take effect within two seconds of its
+    // acknowledgement.
     assert!(reconnect_max_ms(2) < 2_000);
 }
--- a/tests/standings.rs
+++ b/tests/standings.rs
@@ -1,4 +1,5 @@
-//! How a gateway treats requests under which endpoints ended, and what control keeps of them.
+//! The standings of requests under which endpoints ended: their effect on a gateway, and their
+//! storage in control.
 
 use std::collections::HashSet;
 
@@ -38,7 +39,7 @@
         RequestContent { host: "g", ..content(b"body") },
         RequestContent { target: "/a?b=d", ..content(b"body") },
         RequestContent { weights: Some(&weights), ..content(b"body") },
-        // The same bytes, cut elsewhere.
+        // The same bytes, split elsewhere between target and body.
         RequestContent { target: "/a?b=cb", ..content(b"ody") },
     ];
     for other in others {
@@ -49,14 +50,14 @@
 #[test]
 fn a_held_request_is_refused_until_its_time_has_passed() {
     let mut standings = Standings::new("g1".into());
-    assert_eq!(standings.permission(0, key()), Permission::Free);
+    assert_eq!(standings.permission(0, key()), Permission::Unrestricted);
     standings.apply(1_000, told(held(10_000)));
     assert_eq!(standings.permission(1_000, key()), Permission::Refused { after_ms: 10_000 });
     assert_eq!(standings.permission(7_000, key()), Permission::Refused { after_ms: 4_000 });
     assert_eq!(standings.permission(10_999, key()), Permission::Refused { after_ms: 1_000 });
-    assert_eq!(standings.permission(11_000, key()), Permission::Ask);
+    assert_eq!(standings.permission(11_000, key()), Permission::AskLeader);
     standings.apply(12_000, told(Standing::Cleared));
-    assert_eq!(standings.permission(12_000, key()), Permission::Free);
+    assert_eq!(standings.permission(12_000, key()), Permission::Unrestricted);
     assert!(standings.is_empty());
 }
 
@@ -64,7 +65,7 @@
 fn watched_requests_are_sent_and_suspected_ones_once() {
     let mut standings = Standings::new("g1".into());
     standings.apply(0, told(Standing::Watched));
-    assert_eq!(standings.permission(0, key()), Permission::Free);
+    assert_eq!(standings.permission(0, key()), Permission::Unrestricted);
     assert!(standings.is_watched(&key()));
     standings.apply(0, told(Standing::Suspected));
     assert_eq!(standings.permission(0, key()), Permission::Once);
@@ -78,18 +79,23 @@
     assert!(matches!(standings.permission(0, key()), Permission::Refused { .. }));
     standings.apply(0, told(on_trial("g1")));
     assert!(standings.take_trial(&key()));
-    assert!(!standings.take_trial(&key()), "it was used");
+    assert!(!standings.take_trial(&key()), "the trial was used");
     assert!(matches!(standings.permission(0, key()), Permission::Refused { .. }));
-    assert_eq!(standings.permission(2_000, key()), Permission::Ask, "it had no outcome");
+    assert_eq!(
+        standings.permission(2_000, key()),
+        Permission::AskLeader,
+        "the trial had no outcome"
+    );
 }
 
-/// Guards against a trial that nobody uses: until it had an outcome all other tries were refused.
+/// Guards against a trial that no request uses: all other attempts are refused until it has an
+/// outcome.
 #[test]
 fn a_trial_that_no_request_waits_for_is_returned() {
     let mut standings = Standings::new("g1".into());
-    assert!(standings.apply(0, told(on_trial("g1"))), "nobody waits");
-    assert!(!standings.apply(0, told(on_trial("g2"))), "it is another gateway's");
-    assert!(!standings.apply(0, told(held(1_000))), "it is no trial");
+    assert!(standings.apply(0, told(on_trial("g1"))), "no request waits");
+    assert!(!standings.apply(0, told(on_trial("g2"))), "another gateway's trial");
+    assert!(!standings.apply(0, told(held(1_000))), "not a trial");
     standings.begin_wait(key());
     standings.begin_wait(key());
     standings.end_wait(&key());
@@ -98,7 +104,7 @@
     assert!(standings.take_trial(&key()));
     assert!(standings.has_used_trial(&key()));
     standings.end_wait(&key());
-    assert!(standings.apply(0, told(on_trial("g1"))), "nobody waits any more");
+    assert!(standings.apply(0, told(on_trial("g1"))), "no request waits any more");
 }
 
 /// Guards against requests that wait for a trial while another gateway has it.
@@ -110,7 +116,7 @@
         let permission = standings.permission(now_ms, key());
         assert!(matches!(permission, Permission::Refused { .. }), "{permission:?} at {now_ms}");
     }
-    assert_eq!(standings.permission(15_000, key()), Permission::Ask);
+    assert_eq!(standings.permission(15_000, key()), Permission::AskLeader);
 }
 
 #[test]
@@ -133,7 +139,7 @@
     let mut state = State::new();
     let changes = set(&mut state, 1, held(10_000));
     assert!(matches!(&changes[..], [Change::Request(_)]));
-    let state_read = State::decode(&state.encode()).expect("it decodes");
+    let state_read = State::decode(&state.encode()).expect("the state decodes");
     assert_eq!(state_read.registry.standings().count(), 1);
     assert!(state_read.all_changes().iter().any(|change| matches!(change, Change::Request(_))));
     set(&mut state, 2, Standing::Cleared);
@@ -143,8 +149,8 @@
 #[test]
 fn a_snapshot_without_standings_is_read() {
     let encoded = State::new().encode();
-    let (last, before) = encoded.split_last().expect("it is not empty");
+    let (last, before) = encoded.split_last().expect("the encoding is not empty");
     assert_eq!(*last, 0, "no standings, which come last");
-    let state = State::decode(before).expect("it decodes");
+    let state = State::decode(before).expect("the state decodes");
     assert_eq!(state.registry.standings().count(), 0);
 }
