--- a/src/control/placement/mod.rs
+++ b/src/control/placement/mod.rs
@@ -238,7 +238,7 @@
             self.forget_copies(&name);
         }
         self.renewed.insert(name.clone());
-        self.versions.named(now_ms, name, version);
+        self.versions.record(now_ms, name, version);
     }
 
     /// Forgets copies of a version that was replaced: a load of the newer one comes from the store.
@@ -252,7 +252,7 @@
 
     /// Notes a version of weights that was named as the newest under an earlier leader.
     pub fn learn_version(&mut self, now_ms: u64, name: WeightsName, version: u64) {
-        self.versions.learnt(now_ms, name, version);
+        self.versions.record_with_unknown_age(now_ms, name, version);
     }
 
     /// Takes a heartbeat in.
--- a/src/control/replica/registration.rs
+++ b/src/control/replica/registration.rs
@@ -94,7 +94,7 @@
         if let Some(configuration) = self.state.registry.routing() {
             registered.credit = Pools::new(self.settings.quota)
                 .with_earlier_leader(now_ms, configuration)
-                .with_earlier_term_began(earlier_began_ago_ms.unwrap_or(0));
+                .with_earlier_term_age(earlier_began_ago_ms.unwrap_or(0));
         }
         let standings = self.state.registry.standings().cloned();
         registered.crashes = Crashes::new(now_ms, standings);
@@ -238,11 +238,11 @@
                 }
                 Change::Version(newest) => {
                     placement.set_version(now_ms, newest.name.clone(), newest.version);
-                    self.registered.crashes.renewed(now_ms, &newest.name);
+                    self.registered.crashes.note_weights_updated(now_ms, &newest.name);
                 }
                 Change::Request(standing) => {
                     log_standing(standing);
-                    self.registered.crashes.committed(now_ms, standing);
+                    self.registered.crashes.apply_committed(now_ms, standing);
                 }
                 _ => {}
             }
@@ -390,7 +390,7 @@
                 self.propose_standings(wall_ms);
             }
             SessionUp::AskForTrial(key) => {
-                self.registered.crashes.ask_for_trial(now_ms, key, &from.gateway);
+                self.registered.crashes.request_trial(now_ms, key, &from.gateway);
                 self.propose_standings(wall_ms);
             }
             SessionUp::ServedBefore { key, ago_ms } => {
--- a/src/control/replica/standings.rs
+++ b/src/control/replica/standings.rs
@@ -24,7 +24,7 @@
                     used
                 );
             }
-            self.registered.crashes.crashed(now_ms, crash, used);
+            self.registered.crashes.record_crash(now_ms, crash, used);
         }
         self.propose_standings(wall_ms);
     }
--- a/src/control/session.rs
+++ b/src/control/session.rs
@@ -241,7 +241,7 @@
             let own = self.loads.get(endpoint).copied().unwrap_or_default();
             let load = total.minus(own);
             let told = self.loads_told.get(endpoint).copied().unwrap_or_default();
-            if !counts::is_worth_telling(told, load) {
+            if !counts::is_worth_reporting(told, load) {
                 continue;
             }
             self.loads_told.insert(endpoint.clone(), load);
--- a/src/policy/counts.rs
+++ b/src/policy/counts.rs
@@ -20,7 +20,7 @@
 const DEMAND_STEP_DIVISOR: u32 = 16;
 
 /// True when a gateway that was `told` one count would choose otherwise if it knew it to be `now`.
-pub fn is_worth_telling(told: Load, now: Load) -> bool {
+pub fn is_worth_reporting(told: Load, now: Load) -> bool {
     told.running.abs_diff(now.running) >= RUNNING_STEP
         || told.waiting_ms.abs_diff(now.waiting_ms) >= READING_STEP_MS
         || told.late_ms.abs_diff(now.late_ms) >= READING_STEP_MS
--- a/src/policy/crashes.rs
+++ b/src/policy/crashes.rs
@@ -132,7 +132,7 @@
     pub fn new(now_ms: u64, standings: impl IntoIterator<Item = RequestStanding>) -> Self {
         let mut crashes = Self::default();
         for standing in standings {
-            crashes.committed(now_ms, &standing);
+            crashes.apply_committed(now_ms, &standing);
         }
         crashes
     }
@@ -143,7 +143,7 @@
     }
 
     /// Takes an end in; `used` endpoints of its service ran something, itself among them.
-    pub fn crashed(&mut self, now_ms: u64, crash: EndpointCrash, used: usize) {
+    pub fn record_crash(&mut self, now_ms: u64, crash: EndpointCrash, used: usize) {
         let EndpointCrash { endpoint, service, ago_ms, runs } = crash;
         let at_ms = now_ms.saturating_sub(u64::from(ago_ms));
         if !self.by_endpoint.contains_key(&endpoint) {
@@ -485,7 +485,7 @@
     }
 
     /// Lets `gateway` send a request that was held long enough, unless another one does.
-    pub fn ask_for_trial(&mut self, now_ms: u64, key: RequestKey, gateway: &Arc<str>) {
+    pub fn request_trial(&mut self, now_ms: u64, key: RequestKey, gateway: &Arc<str>) {
         let Some(known) = self.known.get(&key) else { return };
         let (held_ms, times) = match known.standing {
             Standing::Held { for_ms, times } => (for_ms, times),
@@ -511,7 +511,7 @@
     }
 
     /// Shortens the time for which requests to `name`, which has just got a newer version, are held.
-    pub fn renewed(&mut self, now_ms: u64, name: &WeightsName) {
+    pub fn note_weights_updated(&mut self, now_ms: u64, name: &WeightsName) {
         let mut shortened = Vec::new();
         for (key, known) in &mut self.known {
             let Some(weights) = &known.weights else { continue };
@@ -535,7 +535,7 @@
     }
 
     /// Takes over what was committed.
-    pub fn committed(&mut self, now_ms: u64, committed: &RequestStanding) {
+    pub fn apply_committed(&mut self, now_ms: u64, committed: &RequestStanding) {
         let RequestStanding { key, weights, standing } = committed;
         self.undecided.remove(key);
         let before = self.known.remove(key);
--- a/src/policy/quota/credits.rs
+++ b/src/policy/quota/credits.rs
@@ -219,7 +219,7 @@
     }
 
     /// True when requests wait for what nobody was asked for.
-    pub fn has_wanting(&self, now_ms: u64) -> bool {
+    pub fn has_urgent_ask(&self, now_ms: u64) -> bool {
         let mut credits = self.by_workspace.values();
         self.is_linked
             && credits.any(|credit| credit.waiting > credit.units && credit.wants(now_ms))
--- a/src/policy/quota/pool.rs
+++ b/src/policy/quota/pool.rs
@@ -191,7 +191,7 @@
     /// Lets the pools of a leader that follows another one begin with a part of their burst, if the earlier
     /// leader's term began a whole window ago: at most one leader in a window does so.
     #[must_use]
-    pub fn with_earlier_term_began(mut self, ago_ms: u64) -> Self {
+    pub fn with_earlier_term_age(mut self, ago_ms: u64) -> Self {
         if ago_ms < self.bounds.window_ms {
             return self;
         }
--- a/src/policy/versions.rs
+++ b/src/policy/versions.rs
@@ -88,7 +88,7 @@
     }
 
     /// Notes a version that was named at `now_ms`, or since.
-    pub fn named(&mut self, now_ms: u64, name: WeightsName, version: u64) {
+    pub fn record(&mut self, now_ms: u64, name: WeightsName, version: u64) {
         let due_at_ms = now_ms + self.usable_ms;
         let step_ms = self.usable_ms / STEPS;
         let Some(renewed) = self.note(now_ms, name, version) else { return };
@@ -99,7 +99,7 @@
     }
 
     /// Notes a version that was named at some time before: nothing older may be used.
-    pub fn learnt(&mut self, now_ms: u64, name: WeightsName, version: u64) {
+    pub fn record_with_unknown_age(&mut self, now_ms: u64, name: WeightsName, version: u64) {
         let Some(renewed) = self.note(now_ms, name, version) else { return };
         renewed.due = version;
         renewed.coming.clear();
@@ -118,7 +118,7 @@
     }
 
     /// What is known of `name`; nothing when it was never renewed.
-    pub fn of(&self, now_ms: u64, name: &WeightsName) -> Option<KnownVersion> {
+    pub fn known_version(&self, now_ms: u64, name: &WeightsName) -> Option<KnownVersion> {
         let renewed = self.renewed.get(name)?;
         Some(KnownVersion {
             newest: renewed.newest,
--- a/src/relay/access.rs
+++ b/src/relay/access.rs
@@ -39,7 +39,7 @@
         if relay.keys_valid_ms(now_ms) == 0 {
             return Err(unknown);
         }
-        match table.workspace_of(route, credential) {
+        match table.authenticate(route, credential) {
             Ok(workspace) => Ok(Self { credential, workspace, version }),
             // It may be newer than what is known here.
             Err(KeyRefusal::Unknown) if !relay.is_confirmed(now_ms) => Err(unknown),
@@ -57,7 +57,7 @@
         if table.version() == self.version {
             return Ok(());
         }
-        match table.workspace_of(route, self.credential) {
+        match table.authenticate(route, self.credential) {
             Ok(Some(now)) if now.name != workspace.name => {
                 Err(NotSent::Unauthorized(KeyRefusal::Unknown))
             }
--- a/src/relay/admission.rs
+++ b/src/relay/admission.rs
@@ -18,7 +18,7 @@
 use super::shared::Relay;
 use crate::http::{Answer, BodyFault, header, read_body};
 use crate::metrics::Counter;
-use crate::routing::{Chosen, RouteTable};
+use crate::routing::{RouteMatch, RouteTable};
 
 /// How long a client's body may take.
 const BODY_TIMEOUT_MS: u64 = 3_000;
@@ -29,7 +29,7 @@
 /// A request that was read whole.
 pub(super) struct Admitted {
     pub(super) meta: RequestMeta,
-    pub(super) chosen: Chosen,
+    pub(super) chosen: RouteMatch,
     pub(super) access: Access,
     pub(super) used_credit: Option<UsedCredit>,
     pub(super) method: Method,
@@ -120,7 +120,7 @@
     relay: &Relay,
     started_ms: u64,
     meta: &RequestMeta,
-    chosen: &Chosen,
+    chosen: &RouteMatch,
     reason: NotSent,
 ) -> Answer {
     let counter = match reason {
--- a/src/relay/exchange.rs
+++ b/src/relay/exchange.rs
@@ -25,7 +25,7 @@
 use crate::http::{Answer, HttpHandler, answer, full, header};
 use crate::message::{RequestContent, RequestKey};
 use crate::metrics::Counter;
-use crate::routing::{Chosen, Repeat};
+use crate::routing::{Repeat, RouteMatch};
 use crate::wire::BoxFuture;
 
 /// The largest answer that is read whole before it is passed on.
@@ -78,7 +78,7 @@
 pub(super) struct Exchange {
     pub(super) relay: Arc<Relay>,
     pub(super) meta: RequestMeta,
-    pub(super) chosen: Chosen,
+    pub(super) chosen: RouteMatch,
     pub(super) access: Access,
     used_credit: Option<UsedCredit>,
     pub(super) started_ms: u64,
--- a/src/relay/quota.rs
+++ b/src/relay/quota.rs
@@ -68,7 +68,7 @@
         let has_wanting = {
             let mut credits = self.credits();
             credits.granted(self.clock.now_ms(), grants);
-            credits.has_wanting(self.clock.now_ms())
+            credits.has_urgent_ask(self.clock.now_ms())
         };
         self.answered.notify_waiters();
         if has_wanting {
--- a/src/relay/replaced.rs
+++ b/src/relay/replaced.rs
@@ -30,17 +30,17 @@
 
     /// Notes a version of weights that was named as the newest at `now_ms`, or since.
     pub fn set_newest(&mut self, now_ms: u64, name: WeightsName, version: u64) {
-        self.versions.named(now_ms, name, version);
+        self.versions.record(now_ms, name, version);
     }
 
     /// Notes a version of weights that was named as the newest at some time before.
     pub fn learn_newest(&mut self, now_ms: u64, name: WeightsName, version: u64) {
-        self.versions.learnt(now_ms, name, version);
+        self.versions.record_with_unknown_age(now_ms, name, version);
     }
 
     /// What is known of the versions of weights; nothing when they were never renewed.
     pub fn known_version(&self, now_ms: u64, name: &WeightsName) -> Option<KnownVersion> {
-        let known = self.versions.of(now_ms, name)?;
+        let known = self.versions.known_version(now_ms, name)?;
         Some(KnownVersion { due: self.version_due(now_ms, name), ..known })
     }
 
--- a/src/relay/shared.rs
+++ b/src/relay/shared.rs
@@ -157,7 +157,7 @@
     /// True once requests can be served and until the process is about to stop.
     pub fn is_ready(&self) -> bool {
         let table = self.table();
-        let serves = !table.serves_keyed_only() || self.keys_valid_ms(self.now_ms()) > 0;
+        let serves = !table.needs_key_everywhere() || self.keys_valid_ms(self.now_ms()) > 0;
         table.version() > 0 && self.was_confirmed() && serves && !self.is_stopping()
     }
 
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -12,7 +12,7 @@
 
 use serde::{Deserialize, Serialize};
 
-pub use table::{Chosen, KeyRefusal, RouteTable};
+pub use table::{KeyRefusal, RouteMatch, RouteTable};
 pub use workspace::{ApiKey, Credential, Quota, QuotaUnit, Workspace};
 
 use crate::message::WeightsName;
--- a/src/routing/table.rs
+++ b/src/routing/table.rs
@@ -30,7 +30,7 @@
 
 /// Where a request goes.
 #[derive(Debug, Clone)]
-pub struct Chosen {
+pub struct RouteMatch {
     /// Its route.
     pub route: Arc<Route>,
     /// The service among the route's targets.
@@ -82,7 +82,7 @@
     }
 
     /// True when there are routes and every one of them needs a key.
-    pub fn serves_keyed_only(&self) -> bool {
+    pub fn needs_key_everywhere(&self) -> bool {
         let routes = &self.configuration.routes;
         !routes.is_empty() && routes.iter().all(|route| self.needs_key(route))
     }
@@ -91,7 +91,7 @@
     ///
     /// # Errors
     /// The key does not let it in.
-    pub fn workspace_of(
+    pub fn authenticate(
         &self,
         route: &Route,
         credential: Credential,
@@ -114,11 +114,11 @@
     ///
     /// The service is drawn by a hash of the id, so that the same request goes to the same service
     /// at every gateway.
-    pub fn find(&self, host: &str, path: &str, request_id: &str) -> Option<Chosen> {
+    pub fn find(&self, host: &str, path: &str, request_id: &str) -> Option<RouteMatch> {
         let route = self.find_route(host, path)?;
         let service = pick_target(&route, request_id)?;
         let service = self.services.get(service)?.clone();
-        Some(Chosen { route, service })
+        Some(RouteMatch { route, service })
     }
 
     fn find_route(&self, host: &str, path: &str) -> Option<Arc<Route>> {
--- a/tests/counts.rs
+++ b/tests/counts.rs
@@ -8,7 +8,7 @@
 use winchvane::control::distribution::hello;
 use winchvane::control::session::Session;
 use winchvane::message::{EndpointLoad, Load};
-use winchvane::policy::counts::{is_worth_telling, period_ms};
+use winchvane::policy::counts::{is_worth_reporting, period_ms};
 
 fn session() -> Session {
     let address = ([127, 0, 0, 1], 9).into();
@@ -76,9 +76,9 @@
 fn differences_that_change_no_choice_are_not_told() {
     let load =
         |running, waiting_ms, late_ms| Load { running, waiting_ms, late_ms, demand_per_min: 0 };
-    assert!(!is_worth_telling(load(3, 100, 0), load(3, 100, 0)));
-    assert!(!is_worth_telling(load(3, 100, 0), load(4, 112, 5)));
-    assert!(is_worth_telling(load(3, 100, 0), load(5, 100, 0)));
-    assert!(is_worth_telling(load(3, 100, 0), load(3, 80, 0)));
-    assert!(is_worth_telling(load(3, 100, 40), load(3, 100, 0)));
+    assert!(!is_worth_reporting(load(3, 100, 0), load(3, 100, 0)));
+    assert!(!is_worth_reporting(load(3, 100, 0), load(4, 112, 5)));
+    assert!(is_worth_reporting(load(3, 100, 0), load(5, 100, 0)));
+    assert!(is_worth_reporting(load(3, 100, 0), load(3, 80, 0)));
+    assert!(is_worth_reporting(load(3, 100, 40), load(3, 100, 0)));
 }
--- a/tests/crashes.rs
+++ b/tests/crashes.rs
@@ -204,12 +204,12 @@
                 // Nobody sees the end of an endpoint that runs nothing.
                 if !crash.runs.is_empty() {
                     let used = engines.iter().filter(|it| !it.runs.is_empty()).count();
-                    crashes.crashed(now_ms, crash, used + 1);
+                    crashes.record_crash(now_ms, crash, used + 1);
                 }
             }
             crashes.advance(now_ms);
             for decided in crashes.take_decided() {
-                crashes.committed(now_ms, &decided);
+                crashes.apply_committed(now_ms, &decided);
                 watched.retain(|key| *key != decided.key);
                 match decided.standing {
                     Standing::Cleared => {}
@@ -377,7 +377,7 @@
         ago_ms: 0,
         runs: vec![run],
     };
-    crashes.crashed(now_ms, crash, 10);
+    crashes.record_crash(now_ms, crash, 10);
 }
 
 fn adapter() -> WeightsName {
@@ -389,7 +389,7 @@
     crashes.advance(now_ms + GATHERED_MS);
     let mut last = None;
     for decided in crashes.take_decided() {
-        crashes.committed(now_ms, &decided);
+        crashes.apply_committed(now_ms, &decided);
         last = Some(decided.standing);
     }
     last
@@ -451,7 +451,7 @@
         crashes.advance(now_ms + 400);
         for decided in crashes.take_decided() {
             assert_eq!(decided.standing, Standing::Watched);
-            crashes.committed(now_ms, &decided);
+            crashes.apply_committed(now_ms, &decided);
         }
     }
 }
@@ -468,7 +468,7 @@
             if decided.standing.is_refused() {
                 held.push(decided.key);
             }
-            crashes.committed(now_ms, &decided);
+            crashes.apply_committed(now_ms, &decided);
         }
     }
     assert_eq!(held, [key(9)]);
@@ -493,7 +493,7 @@
     for now_ms in [1_400, 1_450, 1_550] {
         crashes.advance(now_ms);
         for decided in crashes.take_decided() {
-            crashes.committed(now_ms, &decided);
+            crashes.apply_committed(now_ms, &decided);
             standings.push(decided.standing);
         }
         if let (1_400, Some(at_ms)) = (now_ms, served_at_ms) {
@@ -551,13 +551,13 @@
 fn one_gateway_at_a_time_tries_a_request_that_was_held_long_enough() {
     let mut crashes = held();
     let (one, other): (Arc<str>, Arc<str>) = ("g1".into(), "g2".into());
-    crashes.ask_for_trial(HELD_AT_MS + 9_999, key(9), &one);
+    crashes.request_trial(HELD_AT_MS + 9_999, key(9), &one);
     assert_eq!(commit(&mut crashes, 13_999), None, "too early");
-    crashes.ask_for_trial(14_000, key(9), &one);
-    crashes.ask_for_trial(14_000, key(9), &other);
+    crashes.request_trial(14_000, key(9), &one);
+    crashes.request_trial(14_000, key(9), &other);
     let on_trial = Standing::OnTrial { gateway: one, times: 0 };
     assert_eq!(commit(&mut crashes, 14_000), Some(on_trial));
-    crashes.ask_for_trial(15_000, key(9), &other);
+    crashes.request_trial(15_000, key(9), &other);
     assert_eq!(commit(&mut crashes, 15_000), None, "another one tries");
     end(&mut crashes, 16_000, "e9", 9, 40);
     let again = Standing::Held { for_ms: 60_000, times: 1 };
@@ -567,7 +567,7 @@
 #[test]
 fn an_end_by_chance_during_a_trial_does_not_lengthen_the_time() {
     let mut crashes = held();
-    crashes.ask_for_trial(14_000, key(9), &"g1".into());
+    crashes.request_trial(14_000, key(9), &"g1".into());
     assert!(commit(&mut crashes, 14_000).is_some());
     end(&mut crashes, 24_000, "e9", 9, 10_000);
     let again = Standing::Held { for_ms: 10_000, times: 0 };
@@ -578,9 +578,9 @@
 fn a_trial_without_an_outcome_gives_way_to_the_next() {
     let mut crashes = held();
     let (one, other): (Arc<str>, Arc<str>) = ("g1".into(), "g2".into());
-    crashes.ask_for_trial(14_000, key(9), &one);
+    crashes.request_trial(14_000, key(9), &one);
     assert!(commit(&mut crashes, 14_000).is_some());
-    crashes.ask_for_trial(29_000, key(9), &other);
+    crashes.request_trial(29_000, key(9), &other);
     let on_trial = Standing::OnTrial { gateway: other, times: 0 };
     assert_eq!(commit(&mut crashes, 29_000), Some(on_trial));
     crashes.served(key(9));
@@ -592,14 +592,14 @@
 fn a_returned_trial_is_given_again_after_a_second() {
     let mut crashes = held();
     let (one, other): (Arc<str>, Arc<str>) = ("g1".into(), "g2".into());
-    crashes.ask_for_trial(14_000, key(9), &one);
+    crashes.request_trial(14_000, key(9), &one);
     assert!(commit(&mut crashes, 14_000).is_some());
     crashes.return_trial(key(9), &other);
     assert_eq!(commit(&mut crashes, 14_100), None, "another gateway has it");
     crashes.return_trial(key(9), &one);
     let again = Standing::Held { for_ms: 1_000, times: 0 };
     assert_eq!(commit(&mut crashes, 14_100), Some(again));
-    crashes.ask_for_trial(15_100, key(9), &other);
+    crashes.request_trial(15_100, key(9), &other);
     assert!(matches!(commit(&mut crashes, 15_100), Some(Standing::OnTrial { .. })));
 }
 
@@ -613,7 +613,7 @@
         last = commit(&mut crashes, 8_000).or(last);
     }
     assert_eq!(last, Some(Standing::Held { for_ms: 10_000, times: 0 }), "it is held too");
-    crashes.ask_for_trial(18_100, key(9), &"g1".into());
+    crashes.request_trial(18_100, key(9), &"g1".into());
     assert!(commit(&mut crashes, 18_100).is_some());
     // The one on trial is told first.
     ends_told(&mut crashes, 18_200, "g", &[(9, 30), (8, 40)]);
@@ -624,22 +624,22 @@
 #[test]
 fn an_end_from_before_a_trial_is_not_its_outcome() {
     let mut crashes = held();
-    crashes.ask_for_trial(14_000, key(9), &"g1".into());
+    crashes.request_trial(14_000, key(9), &"g1".into());
     assert!(commit(&mut crashes, 14_000).is_some());
     let run = BrokenRun { key: key(9), weights: None, ran_ms: 40, served_ago_ms: None };
     let (endpoint, service) = ("e-early".into(), "s".into());
     let early = EndpointCrash { endpoint, service, ago_ms: 3_000, runs: vec![run] };
-    crashes.crashed(14_500, early, 10);
+    crashes.record_crash(14_500, early, 10);
     assert_eq!(commit(&mut crashes, 14_500), None);
 }
 
 #[test]
 fn a_newer_version_of_its_weights_shortens_the_time_once() {
     let mut crashes = held();
-    crashes.renewed(HELD_AT_MS + 1_000, &adapter());
+    crashes.note_weights_updated(HELD_AT_MS + 1_000, &adapter());
     let shorter = Standing::Held { for_ms: 4_000, times: 0 };
     assert_eq!(commit(&mut crashes, 5_000), Some(shorter));
-    crashes.renewed(6_000, &adapter());
+    crashes.note_weights_updated(6_000, &adapter());
     assert_eq!(commit(&mut crashes, 6_000), None);
 }
 
@@ -651,13 +651,13 @@
         end(&mut crashes, 1_000 + number * 500, &format!("e{number}"), 9, 40);
         crashes.advance(2_000 + number * 500);
         for decided in crashes.take_decided() {
-            crashes.committed(4_000, &decided);
+            crashes.apply_committed(4_000, &decided);
             standings = vec![decided];
         }
     }
     let mut next = Crashes::new(100, standings);
-    next.ask_for_trial(10_099, key(9), &"g1".into());
+    next.request_trial(10_099, key(9), &"g1".into());
     assert_eq!(commit(&mut next, 10_099), None);
-    next.ask_for_trial(10_100, key(9), &"g1".into());
+    next.request_trial(10_100, key(9), &"g1".into());
     assert!(matches!(commit(&mut next, 10_100), Some(Standing::OnTrial { .. })));
 }
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -629,7 +629,7 @@
     fn elect_after(&mut self, earlier_at_ms: u64) {
         self.elect();
         let began_ago_ms = self.now_ms - earlier_at_ms;
-        self.leader = self.leader.take().map(|pools| pools.with_earlier_term_began(began_ago_ms));
+        self.leader = self.leader.take().map(|pools| pools.with_earlier_term_age(began_ago_ms));
         self.link_all();
     }
 
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -66,7 +66,7 @@
     let table = RouteTable::new(Arc::new(valid));
     let route = table.find("quotes.example", "/a/x", "r").expect("a route").route;
     let found = |credential| {
-        let found = table.workspace_of(&route, credential);
+        let found = table.authenticate(&route, credential);
         found.map(|workspace| workspace.expect("a key is needed").name.clone())
     };
     assert_eq!(found(key("k2")).as_deref(), Ok("one"));
@@ -81,12 +81,12 @@
 fn without_workspaces_and_on_public_routes_no_key_is_needed() {
     let table = RouteTable::new(Arc::new(with_workspaces(Vec::new())));
     let mut route = route("a", "/a/", &[("parts", 1)]);
-    assert_eq!(table.workspace_of(&route, Credential::Missing), Ok(None));
-    assert!(!table.serves_keyed_only());
+    assert_eq!(table.authenticate(&route, Credential::Missing), Ok(None));
+    assert!(!table.needs_key_everywhere());
     let table = RouteTable::new(Arc::new(with_workspaces(vec![workspace("one", &["k1"])])));
-    assert!(table.serves_keyed_only());
+    assert!(table.needs_key_everywhere());
     route.is_public = true;
-    assert_eq!(table.workspace_of(&route, key("unknown")), Ok(None));
+    assert_eq!(table.authenticate(&route, key("unknown")), Ok(None));
 }
 
 #[yare::parameterized(
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -10,31 +10,31 @@
 #[test]
 fn each_version_becomes_due_by_its_own_age() {
     let mut versions = Versions::new(1_000);
-    assert_eq!(versions.of(0, &name()), None);
-    versions.named(100, name(), 2);
-    versions.named(600, name(), 5);
-    versions.named(700, name(), 4);
+    assert_eq!(versions.known_version(0, &name()), None);
+    versions.record(100, name(), 2);
+    versions.record(600, name(), 5);
+    versions.record(700, name(), 4);
     let due: Vec<u64> = [1_099, 1_100, 1_599, 1_600].map(|at| versions.due(at, &name())).into();
     assert_eq!(due, [0, 2, 2, 5], "one that is older than the newest changes nothing");
-    assert_eq!(versions.of(900, &name()).map(|known| known.known_for_ms), Some(300));
+    assert_eq!(versions.known_version(900, &name()).map(|known| known.known_for_ms), Some(300));
 }
 
 #[test]
 fn a_version_that_is_due_stays_due_when_a_newer_one_is_named() {
     let mut versions = Versions::new(1_000);
-    versions.named(0, name(), 2);
+    versions.record(0, name(), 2);
     assert_eq!(versions.due(1_500, &name()), 2);
-    versions.named(4_500, name(), 3);
+    versions.record(4_500, name(), 3);
     assert_eq!(versions.due(4_500, &name()), 2, "version 1 does not come back");
 }
 
 #[test]
 fn a_version_of_unknown_age_is_due_at_once_and_a_known_one_keeps_its_age() {
     let mut versions = Versions::new(1_000);
-    versions.named(100, name(), 2);
-    versions.learnt(500, name(), 2);
+    versions.record(100, name(), 2);
+    versions.record_with_unknown_age(500, name(), 2);
     assert_eq!(versions.due(500, &name()), 0, "told again, it is not older");
-    versions.learnt(600, name(), 3);
+    versions.record_with_unknown_age(600, name(), 3);
     assert_eq!(versions.due(600, &name()), 3);
 }
 
@@ -43,7 +43,7 @@
     let mut versions = Versions::new(1_000);
     let mut named = Vec::new();
     for now_ms in 0..5_000 {
-        versions.named(now_ms, name(), now_ms + 2);
+        versions.record(now_ms, name(), now_ms + 2);
         named.push((now_ms, now_ms + 2));
         let mut old_enough = 0;
         for (at_ms, version) in &named {
@@ -63,7 +63,7 @@
         let mut versions = Versions::new(usable_ms);
         for now_ms in 0..20_000 {
             if now_ms % every_ms == 0 {
-                versions.named(now_ms, name(), now_ms + 2);
+                versions.record(now_ms, name(), now_ms + 2);
             }
             let due = versions.due(now_ms, &name());
             let age_ms = now_ms + 2 - due;
