--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,8 +1,8 @@
-//! Routes by host and path: what an operator declares as one whole configuration.
+//! Routing configuration: routes by host and path, the services behind them, and workspaces.
 //!
-//! A [`RoutingConfiguration`] carries one version for everything in it. The highest version is the
-//! one in force; a lower or equal one changes nothing. Each service is a set of endpoints that
-//! register themselves; an engine service says what its endpoints can hold.
+//! One version covers the whole [`RoutingConfiguration`]. The highest version is in force; a lower
+//! or equal one changes nothing. Each service is a set of endpoints that register themselves; the
+//! configuration of an engine service contains the capacity of its endpoints.
 
 mod table;
 mod workspace;
@@ -17,14 +17,14 @@
 
 use crate::message::WeightsName;
 
-/// The longest time that a route may name, 34 years: sums with the present time and products with
-/// percentages stay far within a `u64`.
+/// The maximum time in a route, 34 years: sums with the current time and products with percentages
+/// stay far within a `u64`.
 const TIME_MAX_MS: u64 = 1 << 40;
 
-/// The largest rate or burst of a quota: whole numbers up to it are exact, and so are their sums.
+/// The maximum rate or burst of a quota: integers up to it, and their sums, are exact in an `f64`.
 const UNITS_MAX: f64 = 1e15;
 
-/// Everything that is routed, under one version.
+/// A complete configuration under one version.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct RoutingConfiguration {
     /// The version; the highest one is in force.
@@ -33,61 +33,61 @@
     pub routes: Vec<Route>,
     /// The services that routes name.
     pub services: Vec<ServiceSpec>,
-    /// What clients may send.
+    /// Limits on client requests.
     pub limits: RequestLimits,
-    /// Whose requests are served; where there are none, anybody's are.
+    /// The workspaces whose requests are served; if there are none, all requests are served.
     pub workspaces: Vec<Workspace>,
 }
 
-/// What may be done again when a request fails.
+/// What may be repeated when a request fails.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Repeat {
     /// The request may run any number of times.
     Any,
-    /// The request runs once at most.
+    /// The request runs at most once.
     Once,
-    /// A stream that runs once at most, but may be taken up at another endpoint after its last
-    /// event.
+    /// The request is a stream that runs at most once but may be resumed at another endpoint after
+    /// its last event.
     Resume,
 }
 
-/// One route.
+/// A route.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// The operator's name for it.
+    /// The operator's name for the route.
     pub name: Arc<str>,
     /// The host that requests name.
     pub host: Arc<str>,
-    /// The beginning of the path; starts and ends with a slash.
+    /// The prefix of the path; starts and ends with a slash.
     pub path_prefix: Arc<str>,
-    /// What may be done again.
+    /// What may be repeated when a request fails.
     pub repeat: Repeat,
-    /// True when answers are streams of events.
+    /// True if responses are event streams.
     pub streams: bool,
-    /// True when requests name a model and carry the parts of their prompt.
+    /// True if requests name a model and contain the parts of their prompt.
     pub generates: bool,
-    /// The longest time a request is held.
+    /// The maximum time for which a request is held.
     pub timeout_ms: u64,
-    /// The time within which an answer, or the first event of one, is in time.
+    /// The latency objective for a response, or for the first event of a stream.
     pub latency_objective_ms: u64,
-    /// The longest pause between two events of a stream that is still in time.
+    /// The latency objective for the pause between two events of a stream.
     pub gap_objective_ms: u64,
-    /// The rank; 0 goes first.
+    /// The priority; 0 goes first.
     pub priority: u8,
-    /// How many endpoints one request may be given to.
+    /// The maximum number of endpoints that one request is sent to.
     pub attempts: u32,
     /// The services that share the route's requests.
     pub targets: Vec<Target>,
-    /// True when requests need no key.
+    /// True if requests need no API key.
     pub is_public: bool,
 }
 
 /// A service's share of a route.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Target {
-    /// The service.
+    /// The name of the service.
     pub service: Arc<str>,
-    /// Its weight among the route's targets.
+    /// The weight among the route's targets.
     pub weight: u32,
 }
 
@@ -96,24 +96,24 @@
 pub struct ServiceSpec {
     /// The name.
     pub name: Arc<str>,
-    /// How many connections an endpoint takes from all gateways together.
+    /// The maximum number of connections of all gateways together to one endpoint.
     pub connections_max: u32,
-    /// What each endpoint holds, where they are engines.
+    /// The capacity of each endpoint, if the endpoints are engines.
     pub engine: Option<EngineSpec>,
 }
 
-/// What the engines of a service can hold.
+/// The capacity of the engines of a service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EngineSpec {
-    /// Requests that run at once.
+    /// The number of requests that run at once.
     pub slots: u32,
-    /// Tokens that fit an engine's memory.
+    /// The number of tokens that fit in an engine's memory.
     pub memory_tokens: u64,
-    /// Adapters that fit at once.
+    /// The number of adapters that fit at once.
     pub adapter_places: usize,
-    /// Room for weights and adapters together.
+    /// The memory for weights and adapters together.
     pub weights_mb: f64,
-    /// Loads from the weight store that all endpoints together may begin in a second.
+    /// The rate of loads from the weight store that all endpoints together may start.
     pub store_loads_per_s: f64,
     /// The base models.
     pub models: Vec<ModelSpec>,
@@ -128,25 +128,25 @@
     pub weights_mb: f64,
     /// The size of one of its adapters.
     pub adapter_mb: f64,
-    /// How long its weights take to arrive from the store.
+    /// The time to load its weights from the store.
     pub load_ms: u64,
 }
 
-/// Bounds on what clients send.
+/// Limits on client requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestLimits {
-    /// The largest set of headers.
+    /// The maximum size of all headers together.
     pub header_max_bytes: usize,
-    /// The largest body.
+    /// The maximum size of the body.
     pub body_max_bytes: usize,
-    /// The longest time for the headers to arrive.
+    /// The maximum time for the headers to arrive.
     pub header_timeout_ms: u64,
-    /// How long a connection may stay idle.
+    /// The maximum time that a connection may be idle.
     pub idle_timeout_ms: u64,
 }
 
 impl Default for RequestLimits {
-    // In force until the first configuration has come.
+    // These limits apply until the first configuration arrives.
     fn default() -> Self {
         Self {
             header_max_bytes: 16 << 10,
@@ -158,7 +158,7 @@
 }
 
 impl EngineSpec {
-    /// The room that `name` takes; nothing for weights that the service does not declare.
+    /// The memory that `name` needs; 0 for weights that the service does not declare.
     pub fn size_mb(&self, name: &WeightsName) -> f64 {
         let model = self.models.iter().find(|model| model.name == name.model);
         model.map_or(0.0, |model| match name.adapter {
@@ -169,7 +169,7 @@
 }
 
 impl RoutingConfiguration {
-    /// The faults that keep this configuration from being accepted, in the order of its routes.
+    /// The faults for which this configuration is rejected, in the order of its routes.
     pub fn faults(&self) -> Vec<String> {
         let mut faults = Vec::new();
         let mut services = BTreeSet::new();
@@ -203,11 +203,11 @@
                 }
             }
         }
-        self.note_workspace_faults(&mut faults);
+        self.add_workspace_faults(&mut faults);
         faults
     }
 
-    fn note_workspace_faults(&self, faults: &mut Vec<String>) {
+    fn add_workspace_faults(&self, faults: &mut Vec<String>) {
         let mut names = BTreeSet::new();
         let mut holders = BTreeMap::new();
         for workspace in &self.workspaces {
--- a/src/routing/table.rs
+++ b/src/routing/table.rs
@@ -1,4 +1,4 @@
-//! Finding the route of a request.
+//! Lookup of the route of a request and of the workspace of an API key.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 
 use super::{ApiKey, Credential, Route, RoutingConfiguration, ServiceSpec, Workspace};
 
-/// A configuration arranged for lookups.
+/// A configuration indexed for lookups.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     version: u64,
@@ -17,28 +17,28 @@
     configuration: Arc<RoutingConfiguration>,
 }
 
-/// Why a request's key does not let it in.
+/// Why the API key of a request is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyRefusal {
-    /// It carries none.
+    /// The request has no key.
     Missing,
-    /// What it carries cannot be read as one key.
+    /// The request has several keys or one that cannot be parsed.
     Unreadable,
-    /// No workspace has it.
+    /// No workspace has the key.
     Unknown,
 }
 
-/// Where a request goes.
+/// The result of a route lookup.
 #[derive(Debug, Clone)]
 pub struct RouteMatch {
-    /// Its route.
+    /// The route of the request.
     pub route: Arc<Route>,
-    /// The service among the route's targets.
+    /// The service selected among the route's targets.
     pub service: Arc<ServiceSpec>,
 }
 
 impl RouteTable {
-    /// The table of `configuration`.
+    /// Creates the table of `configuration`.
     pub fn new(configuration: Arc<RoutingConfiguration>) -> Self {
         let mut by_host: HashMap<Arc<str>, HashMap<Arc<str>, Arc<Route>>> = HashMap::new();
         for route in &configuration.routes {
@@ -60,37 +60,37 @@
         Self { version: configuration.version, by_host, services, workspaces, configuration }
     }
 
-    /// The version in force; 0 while there is none.
+    /// The version in force; 0 if there is none.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The configuration that the table was made of.
+    /// The configuration of this table.
     pub fn configuration(&self) -> &Arc<RoutingConfiguration> {
         &self.configuration
     }
 
-    /// True when the endpoints of `service` are engines.
+    /// Returns true if the endpoints of `service` are engines.
     pub fn is_engine(&self, service: &str) -> bool {
         let services = &self.configuration.services;
         services.iter().any(|spec| &*spec.name == service && spec.engine.is_some())
     }
 
-    /// True when requests on `route` need a key.
+    /// Returns true if requests on `route` need an API key.
     pub fn needs_key(&self, route: &Route) -> bool {
         !route.is_public && !self.configuration.workspaces.is_empty()
     }
 
-    /// True when there are routes and every one of them needs a key.
+    /// Returns true if there are routes and all of them need an API key.
     pub fn needs_key_everywhere(&self) -> bool {
         let routes = &self.configuration.routes;
         !routes.is_empty() && routes.iter().all(|route| self.needs_key(route))
     }
 
-    /// The workspace whose key a request on `route` carries; none where it needs no key.
+    /// The workspace of the API key of a request on `route`; `None` if the route needs no key.
     ///
     /// # Errors
-    /// The key does not let it in.
+    /// The key is missing or invalid.
     pub fn authenticate(
         &self,
         route: &Route,
@@ -109,14 +109,14 @@
         }
     }
 
-    /// The route whose prefix is the longest one that begins `path`, and the service that serves
-    /// the request with `request_id`.
+    /// The route with the longest prefix of `path`, and the service for the request with
+    /// `request_id`.
     ///
-    /// The service is drawn by a hash of the id, so that the same request goes to the same service
-    /// at every gateway.
+    /// The service is selected by a hash of the id, so that all gateways send a request to the same
+    /// service.
     pub fn find(&self, host: &str, path: &str, request_id: &str) -> Option<RouteMatch> {
         let route = self.find_route(host, path)?;
-        let service = pick_target(&route, request_id)?;
+        let service = select_target(&route, request_id)?;
         let service = self.services.get(service)?.clone();
         Some(RouteMatch { route, service })
     }
@@ -136,7 +136,7 @@
     }
 }
 
-fn pick_target<'a>(route: &'a Route, request_id: &str) -> Option<&'a Arc<str>> {
+fn select_target<'a>(route: &'a Route, request_id: &str) -> Option<&'a Arc<str>> {
     if let [only] = route.targets.as_slice() {
         return Some(&only.service);
     }
--- a/src/routing/workspace.rs
+++ b/src/routing/workspace.rs
@@ -1,4 +1,4 @@
-//! Workspaces: whose request it is by the API key that it carries, and how much each may ask for.
+//! Workspaces, which are identified by the API keys of their requests and limited by quotas.
 
 use std::fmt;
 use std::sync::Arc;
@@ -6,9 +6,10 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// An API key as it is kept: a digest, which nobody can turn back into the key.
+/// The digest of an API key, from which the key cannot be recovered.
 ///
-/// Keys are looked up by digest, so that the time which a lookup takes tells nothing of how far a key matches.
+/// Keys are looked up by digest, so that the time of a lookup does not reveal how much of a key
+/// matches.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ApiKey([u8; 16]);
 
@@ -21,68 +22,69 @@
     }
 }
 
-/// Says nothing of the key.
+/// Does not print the digest.
 impl fmt::Debug for ApiKey {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         out.write_str("ApiKey(..)")
     }
 }
 
-/// What a request says of whose it is.
+/// The credential of a request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Credential {
-    /// Nothing.
+    /// The request has no credential.
     #[default]
     Missing,
-    /// Something that is no key, or more than one.
+    /// The credential is not a key, or there is more than one.
     Unreadable,
-    /// A key.
+    /// An API key.
     Key(ApiKey),
 }
 
-/// One customer of the system.
+/// A customer of the system.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Workspace {
-    /// The unique name, by which endpoints know it.
+    /// The unique name, as sent to endpoints.
     pub name: Arc<str>,
-    /// Its keys.
+    /// The API keys.
     pub keys: Vec<ApiKey>,
-    /// The rank of its requests, in place of their routes'.
+    /// The priority of its requests, which replaces that of their routes.
     pub priority: Option<u8>,
-    /// How much it may ask for; none is no limit.
+    /// The quota; `None` means no limit.
     pub quota: Option<Quota>,
 }
 
 /// What a quota counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuotaUnit {
-    /// Each request as one.
+    /// Each request counts as one.
     Requests,
-    /// The tokens of each request's prompt and the most of its answer.
+    /// The tokens of a request's prompt and the maximum number of tokens of its answer.
     Tokens {
-        /// What a request counts that tells none.
+        /// The number of tokens of a request that does not state any.
         plain: u32,
     },
 }
 
-/// How much a workspace may ask for, over all gateways together.
+/// The limit of a workspace across all gateways.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Quota {
     /// What is counted.
     pub unit: QuotaUnit,
-    /// Units a second.
+    /// Units per second.
     pub rate_per_s: f64,
-    /// Units above that at once.
+    /// Units that may be used at once above the rate.
     pub burst: f64,
 }
 
 impl Quota {
-    /// The most that one request may cost: one that costs more could never be let in.
+    /// The maximum cost of one request; a request that costs more could never be admitted.
     pub fn cost_max(&self) -> f64 {
         self.burst.max(self.rate_per_s)
     }
 
-    /// What a request counts with `tokens` in its prompt and answer; none where it tells none.
+    /// The cost of a request with `tokens` in its prompt and answer, `None` if it does not state
+    /// any.
     pub fn cost(&self, tokens: Option<u64>) -> u64 {
         match self.unit {
             QuotaUnit::Requests => 1,
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -1,4 +1,5 @@
-//! Routes by host and longest path prefix, and what makes a configuration invalid.
+//! Route lookup by host and longest path prefix, API keys, and the faults of invalid
+//! configurations.
 
 use std::sync::Arc;
 
@@ -96,10 +97,10 @@
     name_with_a_line_end = { vec![workspace("a\r\nx: y", &["k1"])], "visible ASCII" },
     absurd_rate = { vec![limited(f64::INFINITY)], "no rate" },
 )]
-fn a_fault_of_workspaces_is_told(workspaces: Vec<Workspace>, told: &str) {
+fn faults_of_workspaces_are_reported(workspaces: Vec<Workspace>, expected: &str) {
     let faults = with_workspaces(workspaces).faults();
-    assert!(faults.iter().any(|fault| fault.contains(told)), "{faults:?}");
-    assert!(faults.iter().all(|fault| !fault.contains("k1")), "a key is told: {faults:?}");
+    assert!(faults.iter().any(|fault| fault.contains(expected)), "{faults:?}");
+    assert!(faults.iter().all(|fault| !fault.contains("k1")), "a key is printed: {faults:?}");
 }
 
 fn limited(rate_per_s: f64) -> Workspace {
@@ -134,7 +135,7 @@
 }
 
 #[test]
-fn what_is_invalid_is_told() {
+fn invalid_configurations_are_reported() {
     let valid = configuration(vec![route("a", "/a/", &[("parts", 1)])]);
     assert!(valid.faults().is_empty());
     let mut no_timeout = valid.clone();
