--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -62,8 +62,8 @@
 mutate "equal versions need equal content" src/control/config.rs 's/if document == stored \{/if document.version() == stored_version {/' $scripts control
 mutate "a release needs the epoch" src/control/fleet.rs 's/record\.epoch != epoch \|\| record\.owner\.is_none\(\)/record.owner.is_none()/' $scripts control
 mutate "what serves is not idle" $loads 's/\&\& slot\.running == 0\n/\n/' $scripts owner
-mutate "what an earlier owner runs is not idle" $loads 's/\&\& slot\.foreign == 0\n/\n/' $scripts owner
-mutate "nothing is unloaded before the engine was asked" $owner 's/self\.verified = !self\.is_engine;//' $scripts owner
+mutate "what an earlier owner runs is not idle" $loads 's/\&\& slot\.inherited == 0\n/\n/' $scripts owner
+mutate "nothing is unloaded before the engine was asked" $owner 's/self\.is_verified = !self\.is_engine;//' $scripts owner
 mutate "a request counts on its own load only" $owner 's/\&\& slot\.generation == generation\n/\n/' $scripts owner
 mutate "queues are bounded" $owner 's/if self\.queue\.len\(\) < self\.settings\.queue_max \{/if true {/' $scripts owner
 mutate "a damaged middle is refused" src/control/storage.rs 's/if let Some\(next\) = find_record\(&bytes, offset \+ 1\) \{/if let Some(next) = None::<usize> {/' --test storage
@@ -88,8 +88,8 @@
 mutate "an answer is over once it has arrived" src/gateway/forward.rs 's/receiver\.next\(\)\.await \{\n\s*debug/Ok::<(), Error>(()) {\n debug/' $stops a_planned_stop_waits
 mutate "the first list is waited for" src/gateway/exchange.rs 's/\|\| self\.shared\.directory\(\)\.endpoints\(\)\.len\(\) == 0//' $processes requests_wait
 versions=src/policy/versions.rs
-mutate "each version keeps its own age" $versions 's/renewed\.settle\(now_ms\);/renewed.coming.clear();/' --test renewed_versions
-mutate "a version of unknown age is old enough" $versions 's/renewed\.due = version;\n\s*renewed\.coming\.clear\(\);/let _ = renewed;/' --test renewed_versions
+mutate "each version keeps its own age" $versions 's/weights\.advance\(now_ms\);/weights.coming.clear();/' --test renewed_versions
+mutate "a version of unknown age is old enough" $versions 's/weights\.due = version;\n\s*weights\.coming\.clear\(\);/let _ = weights;/' --test renewed_versions
 mutate "replaced versions are unloaded in time" src/control/placement/mod.rs 's/self\.unload_replaced_versions\(now_ms\);//' --test placement
 mutate "what waits for a replaced version has a bound" src/relay/replaced.rs 's/Some\(self\.versions\.due_at_ms\(now_ms, name, held\)\? \+ self\.begin_within_ms\)/None/' --test renewed_versions
 mutate "a version of unknown age bounds at once" src/relay/replaced.rs 's/if self\.version_due\(now_ms, name\) > held \{\n\s*return Some\(now_ms\);\n\s*\}//' --test renewed_versions
@@ -119,19 +119,19 @@
 mutate "the longest run of a content counts" $crashes 's/ran_ms\.max\(\*known_ms\)/ran_ms.min(*known_ms)/' --test crashes
 mutate "an end that is told again counts once" $crashes 's/            return false;\n        \}\n        crash\.runs/        }\n        crash.runs/' --test crashes
 mutate "the rate of ends is weighed" $crashes 's/highest \/ crash\.used as f64/0.000_01/' --test crashes
-mutate "one gateway at a time tries" $crashes 's/known\.since_ms \+ held_ms > now_ms \|\| self\.undecided\.contains_key\(&key\)/known.since_ms + held_ms > now_ms/' --test crashes
+mutate "one gateway at a time tries" $crashes 's/known\.since_ms \+ held_ms > now_ms \|\| self\.uncommitted\.contains_key\(&key\)/known.since_ms + held_ms > now_ms/' --test crashes
 mutate "a trial is used once" src/relay/standings.rs 's/ && self\.tried\.insert\(\*key\)//' --test standings
 mutate "time goes on while suspended" src/clock.rs 's/left_ms\.min\(LOOK_MS\)/left_ms/' --test clock
-mutate "ends that others explain are no chance" $crashes 's/if !is_this && self\.is_explained_without\(key, other\) \{/if false {/' --test crashes by_turns
-mutate "what was not served lately stands out" $crashes 's/prime = \(crashes > most\)\.then_some\(\*key\);/prime = None;/' --test crashes by_turns
-mutate "gateways report what they served before a hold" $crashes 's/if standing\.is_refused\(\) && !self\.is_served_reported\(now_ms, key\) \{/if false {/' --test crashes gateways_can_report
-mutate "what another one is suspected of holds no bystander" $crashes 's/None => !\(self\.is_trusted\(key, crash\) && self\.is_explained_without\(key, crash\)\),/None => true,/' --test crashes by_turns
+mutate "ends that others explain are no chance" $crashes 's/if !is_same_crash && self\.is_explained_without\(key, other\) \{/if false {/' --test crashes in_turn
+mutate "what was not served lately stands out" $crashes 's/suspect = \(crashes > most_crashes\)\.then_some\(\*key\);/suspect = None;/' --test crashes in_turn
+mutate "gateways report what they served before a hold" $crashes 's/if standing\.is_refused\(\) && !self\.is_served_report_due\(now_ms, key\) \{/if false {/' --test crashes gateways_can_report
+mutate "what another one is suspected of holds no bystander" $crashes 's/None => !\(self\.is_recently_served\(key, crash\) && self\.is_explained_without\(key, crash\)\),/None => true,/' --test crashes in_turn
 mutate "what has just failed is tried last" src/following.rs 's/failed_at\.is_none_or\(/true || failed_at.is_none_or(/' --test server_search
 pool=src/policy/quota/pool.rs
-mutate "what is out is bounded" $pool 's/let scale = [^;]*;/let scale = 1.0;/; s/\.min\(in_advance_max - self\.holders\.held\(\) as f64\)//' --test quota
-mutate "leaders in a row grant no burst each" $pool 's/pool\.level = 0\.0;/pool.level = pool.shares.first.min(pool.shares.burst);/' --test quota leaders_in_a_row
+mutate "what is out is bounded" $pool 's/let scale = [^;]*;/let scale = 1.0;/; s/\.min\(advance_max - self\.holders\.held\(\) as f64\)//' --test quota
+mutate "leaders in a row grant no burst each" $pool 's/pool\.level = 0\.0;/pool.level = pool.shares.initial.min(pool.shares.burst);/' --test quota leaders_in_a_row
 mutate "only a leader after a long term grants a burst" $pool 's/if ago_ms < self\.bounds\.window_ms \{/if false {/' --test quota
-mutate "a new leader counts what another may have let out" $pool 's/pool\.level = pool\.shares\.first\.min\(pool\.shares\.burst\);/pool.level = pool.shares.burst;/' --test quota
+mutate "a new leader counts what another may have let out" $pool 's/pool\.level = pool\.shares\.initial\.min\(pool\.shares\.burst\);/pool.level = pool.shares.burst;/' --test quota
 mutate "credit lapses" src/policy/quota/credits.rs 's/if now_ms >= self\.valid_until_ms \{/if false {/' --test quota
 mutate "keys are let in for a while only" src/relay/shared.rs 's/\(confirmed_at_ms \+ lease_ms\)\.saturating_sub\(now_ms\)/1/' -p winchvane-platform --test keys
 mutate "the key does not reach the endpoint" platform/src/requests.rs 's/const RESERVED: \[&str; 7\]/const RESERVED: [&str; 5]/; s/    AUTHORIZATION,\n    WORKSPACE,\n//' -p winchvane-platform --test keys
--- a/src/policy/counts.rs
+++ b/src/policy/counts.rs
@@ -1,38 +1,41 @@
-//! How often gateways and the leader tell each other what is under way at endpoints, and what of it.
+//! How often gateways and the leader exchange the load of endpoints, and which changes of load are
+//! reported.
 
 use crate::message::Load;
 
-/// The shortest period: each message wakes both sides, and a prompt takes longer to be read.
+/// The shortest interval: each message wakes both sides, and reading a prompt takes longer.
 const PERIOD_MIN_MS: u64 = 40;
-/// The longest period: later counts are of requests that have ended.
+/// The longest interval: counts that arrive later describe requests that have already ended.
 const PERIOD_MAX_MS: u64 = 200;
-/// The period for each gateway, so that the leader tells all of them some 700 times a second at most.
+/// The interval per gateway; limits the leader to about 700 messages per second in total.
 const PERIOD_PER_GATEWAY_US: u64 = 1_400;
 
-/// A difference in reading time that changes few choices: gateways draw among endpoints, and one that
-/// is 50 ms cheaper is taken 2.7 times as often.
+/// The smallest reported change in reading time. A smaller one affects few choices: gateways choose
+/// endpoints at random, and an endpoint that is 50 ms cheaper is chosen 2.7 times as often.
 const READING_STEP_MS: u32 = 15;
-/// The same in requests; one in a batch of twelve slows the others by a few milliseconds.
+/// The smallest reported change in running requests; in a batch of twelve, one request slows the
+/// others by a few milliseconds.
 const RUNNING_STEP: u32 = 2;
 
-/// Changes in demand are reported when they exceed the larger value divided by this: a relative step
-/// keeps shares of an endpoint's limit equally precise at low and high rates.
+/// Changes in demand are reported when they exceed the larger value divided by this: a relative
+/// step keeps shares of an endpoint's limit equally precise at low and high rates.
 const DEMAND_STEP_DIVISOR: u32 = 16;
 
-/// True when a gateway that was `told` one count would choose otherwise if it knew it to be `now`.
-pub fn is_worth_reporting(told: Load, now: Load) -> bool {
-    told.running.abs_diff(now.running) >= RUNNING_STEP
-        || told.waiting_ms.abs_diff(now.waiting_ms) >= READING_STEP_MS
-        || told.late_ms.abs_diff(now.late_ms) >= READING_STEP_MS
-        || differs_in_demand(told, now)
+/// Returns true if a gateway that knows the load `reported` would choose differently if it knew
+/// `current`.
+pub fn is_worth_reporting(reported: Load, current: Load) -> bool {
+    reported.running.abs_diff(current.running) >= RUNNING_STEP
+        || reported.waiting_ms.abs_diff(current.waiting_ms) >= READING_STEP_MS
+        || reported.late_ms.abs_diff(current.late_ms) >= READING_STEP_MS
+        || differs_in_demand(reported, current)
 }
 
-fn differs_in_demand(told: Load, now: Load) -> bool {
-    let larger = told.demand_per_min.max(now.demand_per_min);
-    told.demand_per_min.abs_diff(now.demand_per_min) > larger / DEMAND_STEP_DIVISOR
+fn differs_in_demand(reported: Load, current: Load) -> bool {
+    let larger = reported.demand_per_min.max(current.demand_per_min);
+    reported.demand_per_min.abs_diff(current.demand_per_min) > larger / DEMAND_STEP_DIVISOR
 }
 
-/// The period in which counts are told while there are `gateways`.
+/// The interval between reports of load while there are `gateways`.
 pub fn period_ms(gateways: usize) -> u64 {
     (gateways as u64 * PERIOD_PER_GATEWAY_US / 1_000).clamp(PERIOD_MIN_MS, PERIOD_MAX_MS)
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,7 +1,8 @@
-//! The decisions: where a request goes, what is loaded and evicted, and what is refused.
+//! Policy decisions: which endpoint serves a request, which adapters are loaded and evicted, and
+//! which requests are refused.
 //!
-//! Everything here is a state machine whose calls take the present time; the same code runs in the
-//! gateways and in the measurement.
+//! The modules are state machines whose methods take the current time as an argument, so that
+//! gateways and the measurement run the same code.
 
 pub mod counts;
 pub mod crashes;
--- a/src/policy/owner/mod.rs
+++ b/src/policy/owner/mod.rs
@@ -1,7 +1,8 @@
-//! The owner of one endpoint: what is dispatched, loaded, evicted and refused there.
+//! The owner of one endpoint: decides which requests are dispatched or refused there and which
+//! adapters are loaded and evicted.
 //!
-//! Calls take the present time and leave [`Effect`]s, which the caller fetches with
-//! [`Owner::take_effects`] and carries out.
+//! Methods take the current time and queue [`Effect`]s, which the caller fetches with
+//! [`Owner::take_effects`] and executes.
 
 mod loads;
 
@@ -9,56 +10,56 @@
 use std::sync::Arc;
 
 use crate::message::{AdapterKey, Priority, Refusal, Summary};
-use crate::policy::owner::loads::Room;
+use crate::policy::owner::loads::SlotSource;
 use crate::policy::popularity::Popularity;
 use crate::policy::queue::{Job, Queue};
 use crate::settings::PolicySettings;
 
 const FAILED_LOAD_PAUSE_MAX_MS: u64 = 30_000;
 const RETRY_AFTER_MIN_MS: u64 = 100;
-const ESTIMATE_SHARE: f64 = 0.1;
-/// How much earlier than its arrival a request counts for each request that its workspace does not
-/// have running.
+const ESTIMATE_SMOOTHING: f64 = 0.1;
+/// The delay in the dispatch order of a request for each running request of its workspace.
 const FAIRNESS_MS: u64 = 25;
-/// How much later a request counts, per unit of batch weight, when its adapter is not in the batch.
+/// The delay in the dispatch order, per unit of batch weight, of a request whose adapter is not in
+/// the batch.
 const OTHER_ADAPTER_MS: f64 = 40.0;
 
-/// What the owner wants done.
+/// An action that the caller executes.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
     /// Send the request to the endpoint.
     Dispatch {
-        /// The request.
+        /// The id of the request.
         job: u64,
-        /// How long it waited for its adapter.
+        /// How long the request waited for its adapter.
         load_wait_ms: u64,
     },
-    /// Give the request its final answer.
+    /// Refuse the request.
     Refuse {
-        /// The request.
+        /// The id of the request.
         job: u64,
-        /// Why.
+        /// The reason.
         refusal: Refusal,
-        /// When to come back.
+        /// The time after which the client may retry.
         retry_after_ms: u64,
     },
-    /// Ask for a share of the weight store's budget.
+    /// Ask for a permit to load an adapter from the weight store.
     AskPermit {
-        /// How much waits for the load.
+        /// The urgency of the load.
         urgency: f32,
     },
-    /// Give an unused permit back.
+    /// Return an unused permit.
     ReturnPermit {
         /// The permit.
         permit: u64,
     },
-    /// Unload `evict` if there is one, then load `adapter`.
+    /// Unload `evict`, if any, then load `adapter`.
     Load {
         /// The adapter to load.
         adapter: AdapterKey,
-        /// An idle adapter that makes room.
+        /// An idle adapter whose slot is reused.
         evict: Option<AdapterKey>,
-        /// The permit to give back afterwards.
+        /// The permit to return after the load.
         permit: u64,
     },
 }
@@ -66,15 +67,15 @@
 /// Whether the endpoint may be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Usability {
-    /// It takes work.
+    /// The endpoint accepts requests.
     Usable,
-    /// The platform is about to stop it.
+    /// The platform is about to stop the endpoint.
     Leaving,
-    /// It does not answer.
+    /// The endpoint does not answer.
     Down,
-    /// The lease of this gateway ran out.
+    /// The lease of this gateway has expired.
     LeaseLost,
-    /// It has been given to another owner, or this gateway is stopping.
+    /// The endpoint has another owner, or this gateway is shutting down.
     HandedOver,
 }
 
@@ -90,14 +91,14 @@
     }
 }
 
-/// What an engine says of itself.
+/// The status reported by an engine.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EngineStatus {
-    /// Drawn at each start of the engine.
+    /// A random id of each start of the engine.
     pub boot_id: u64,
-    /// Requests that it runs at once.
+    /// The number of requests that it runs at once.
     pub places: u32,
-    /// Adapters that it holds at once.
+    /// The number of adapters that it holds at once.
     pub slots: u32,
     /// Each loaded adapter with the number of its running requests.
     pub loaded: Vec<(AdapterKey, u32)>,
@@ -105,12 +106,12 @@
 
 #[derive(Debug)]
 struct Slot {
-    /// Tells a later load of the same adapter from this one.
+    /// Distinguishes this load of the adapter from later ones.
     generation: u64,
     loaded_at_ms: Option<u64>,
     running: u32,
-    /// Requests on the engine that this owner did not send: those of the owner before it.
-    foreign: u32,
+    /// Running requests that the previous owner sent.
+    inherited: u32,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -138,14 +139,14 @@
     places: u32,
     slot_count: u32,
     boot_id: Option<u64>,
-    /// False until the engine has told what it runs: nothing is unloaded before that.
-    verified: bool,
+    /// False until the engine has reported what it runs; nothing is unloaded before that.
+    is_verified: bool,
     slots: BTreeMap<AdapterKey, Slot>,
     queue: Queue,
     running: HashMap<u64, Running>,
-    /// The most that ran at once since the last report of load.
+    /// The maximum number of running requests since the last load report.
     running_peak: u32,
-    /// Requests that others run at the endpoint, as the last report suggests.
+    /// The number of requests that others run at the endpoint, estimated from the last load report.
     others_running: u32,
     running_by_workspace: HashMap<Arc<str>, u64>,
     failures: HashMap<AdapterKey, Failure>,
@@ -154,7 +155,8 @@
     permit_pause_until_ms: u64,
     loading: usize,
     load_ms: f64,
-    /// From the first request for an adapter until it was loaded, the store's queue included.
+    /// The moving average of the time from the first request for an adapter to the end of its load,
+    /// including the wait for a permit.
     load_wait_ms: f64,
     service_ms: f64,
     changes: u64,
@@ -163,12 +165,12 @@
 }
 
 impl Owner {
-    /// The owner of an engine, which tells its places and slots by itself.
+    /// Creates the owner of an engine, which reports its places and slots itself.
     pub fn new_engine(endpoint: Arc<str>, epoch: u64, settings: PolicySettings) -> Self {
         Self::new(endpoint, epoch, settings, true, 0)
     }
 
-    /// The owner of a plain service that takes `places` requests at once.
+    /// Creates the owner of a plain service that runs `places` requests at once.
     pub fn new_plain(
         endpoint: Arc<str>,
         epoch: u64,
@@ -193,7 +195,7 @@
             places,
             slot_count: 0,
             boot_id: None,
-            verified: !is_engine,
+            is_verified: !is_engine,
             slots: BTreeMap::new(),
             queue: Queue::new(),
             running: HashMap::new(),
@@ -215,22 +217,22 @@
         }
     }
 
-    /// Fetches what has to be done.
+    /// Takes the queued effects.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// Requests that run.
+    /// The number of running requests.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Requests that others run at the endpoint, as the last report of load suggests.
+    /// The number of requests that others run at the endpoint, estimated from the last load report.
     pub fn others_running(&self) -> u32 {
         self.others_running
     }
 
-    /// Requests that wait.
+    /// The number of waiting requests.
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
@@ -240,13 +242,13 @@
         self.usability
     }
 
-    /// Counts the changes of loaded adapters; a status that was asked for under another count is
+    /// The number of changes to the loaded adapters so far; a status requested at another count is
     /// out of date.
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// Takes a request in.
+    /// Queues or refuses a request.
     pub fn submit(&mut self, now_ms: u64, job: Job) {
         if let Some(refusal) = self.usability.refusal() {
             self.refuse(job.id, refusal, RETRY_AFTER_MIN_MS);
@@ -272,19 +274,19 @@
             self.refuse(job.id, Refusal::DeadlineUnmeetable, wait_ms);
             return;
         }
-        if !self.make_room(&job) {
+        if !self.ensure_queue_space(&job) {
             return;
         }
         self.queue.push(job);
-        self.pump(now_ms);
+        self.schedule(now_ms);
     }
 
-    /// Keeps the queue within its bounds; false when `job` itself was refused.
-    fn make_room(&mut self, job: &Job) -> bool {
+    /// Keeps the queue within its limits; returns false if `job` was refused.
+    fn ensure_queue_space(&mut self, job: &Job) -> bool {
         let retry_after_ms = self.drain_ms();
         let share = (self.settings.queue_max as f64 * self.settings.workspace_share).ceil();
-        let is_crowded = self.queue.len() * 2 >= self.settings.queue_max;
-        if is_crowded && self.queue.of_workspace(&job.workspace) as f64 >= share {
+        let is_half_full = self.queue.len() * 2 >= self.settings.queue_max;
+        if is_half_full && self.queue.workspace_len(&job.workspace) as f64 >= share {
             self.refuse(job.id, Refusal::WorkspaceShare, retry_after_ms);
             return false;
         }
@@ -299,7 +301,7 @@
         true
     }
 
-    /// Takes a waiting request out; it gets no answer. False when it does not wait.
+    /// Removes a waiting request without an answer; returns false if it was not waiting.
     pub fn cancel(&mut self, job: u64) -> bool {
         !self.queue.take(|waiting| waiting.id == job).is_empty()
     }
@@ -308,7 +310,7 @@
     pub fn finished(&mut self, now_ms: u64, job: u64) {
         let Some(running) = self.running.remove(&job) else { return };
         let took_ms = now_ms.saturating_sub(running.started_ms) as f64;
-        self.service_ms += (took_ms - self.service_ms) * ESTIMATE_SHARE;
+        self.service_ms += (took_ms - self.service_ms) * ESTIMATE_SMOOTHING;
         if let Some(count) = self.running_by_workspace.get_mut(&running.workspace) {
             *count -= 1;
             if *count == 0 {
@@ -321,21 +323,22 @@
         {
             slot.running = slot.running.saturating_sub(1);
         }
-        self.pump(now_ms);
+        self.schedule(now_ms);
     }
 
-    /// Notes that the engine does not have an adapter that this owner took for loaded.
+    /// Notes that the engine does not have an adapter that this owner considered loaded.
     pub fn adapter_missing(&mut self, now_ms: u64, adapter: &AdapterKey) {
         if self.slots.get(adapter).is_some_and(|slot| slot.loaded_at_ms.is_some()) {
             self.slots.remove(adapter);
             self.changes += 1;
         }
-        self.pump(now_ms);
+        self.schedule(now_ms);
     }
 
-    /// Takes in what the engine says of itself, unless adapters changed since `changes` was read.
+    /// Applies a status reported by the engine; ignores its adapters if they have changed since
+    /// `changes` was read.
     ///
-    /// Returns true when the engine has restarted.
+    /// Returns true if the engine has restarted.
     pub fn observe(&mut self, now_ms: u64, changes: u64, status: &EngineStatus) -> bool {
         let restarted = self.boot_id.is_some_and(|boot_id| boot_id != status.boot_id);
         self.boot_id = Some(status.boot_id);
@@ -345,10 +348,10 @@
             self.usability = Usability::Usable;
         }
         if changes != self.changes && !restarted {
-            self.pump(now_ms);
+            self.schedule(now_ms);
             return false;
         }
-        self.verified = true;
+        self.is_verified = true;
         let mut reported: HashMap<&AdapterKey, u32> = HashMap::new();
         for (adapter, running) in &status.loaded {
             reported.insert(adapter, *running);
@@ -363,61 +366,64 @@
             let slot = self.slots.entry(adapter.clone()).or_insert_with(|| {
                 self.changes += 1;
                 let generation = self.changes;
-                Slot { generation, loaded_at_ms: Some(now_ms), running: 0, foreign: 0 }
+                Slot { generation, loaded_at_ms: Some(now_ms), running: 0, inherited: 0 }
             });
-            slot.foreign = running.saturating_sub(slot.running);
+            slot.inherited = running.saturating_sub(slot.running);
         }
-        self.pump(now_ms);
+        self.schedule(now_ms);
         restarted
     }
 
-    /// Changes whether the endpoint may be used; what waits is refused when it may not.
+    /// Sets whether the endpoint may be used; refuses the waiting requests if it may not.
     pub fn set_usability(&mut self, now_ms: u64, usability: Usability) {
         if self.usability == usability {
             return;
         }
         self.usability = usability;
         if usability == Usability::Down || usability == Usability::LeaseLost {
-            // Another owner may change what is loaded before this one is back.
-            self.verified = !self.is_engine;
+            // Another owner may change the loaded adapters before this one is back.
+            self.is_verified = !self.is_engine;
         }
         if let Some(refusal) = usability.refusal() {
             self.refuse_waiting(refusal, RETRY_AFTER_MIN_MS, |_| true);
         }
-        self.pump(now_ms);
+        self.schedule(now_ms);
     }
 
-    /// Takes the platform's report of load in. It is some time old, so only what exceeds the most that
-    /// this owner had running lately counts as the load of others.
+    /// Applies the platform's load report. The report is delayed, so only requests beyond this
+    /// owner's maximum since the previous report count as requests of others.
     pub fn note_load_report(&mut self, now_ms: u64, running: u32) {
         self.others_running = running.saturating_sub(self.running_peak);
         self.running_peak = self.running.len() as u32;
-        self.pump(now_ms);
+        self.schedule(now_ms);
     }
 
-    /// The places that others leave free, one at least: a report is a hint and must not stop work.
+    /// The places that others do not use, at least one: a load report is only a hint and must not
+    /// stop all work.
     fn usable_places(&self) -> u32 {
         self.places.saturating_sub(self.others_running).max(self.places.min(1))
     }
 
-    /// Lets time pass: requests whose deadline has come get their answer.
+    /// Refuses the requests whose deadline has passed, forgets old load failures and dispatches
+    /// what it can.
     pub fn tick(&mut self, now_ms: u64) {
         let retry_after_ms = self.drain_ms();
         self.refuse_waiting(Refusal::DeadlinePassed, retry_after_ms, |job| {
             job.deadline_ms <= now_ms
         });
         self.failures.retain(|_, failure| failure.until_ms + FAILED_LOAD_PAUSE_MAX_MS > now_ms);
-        self.pump(now_ms);
+        self.schedule(now_ms);
     }
 
-    /// What the others should know; the adapters only when asked for.
+    /// Creates the next summary for other gateways; lists the adapters only if `with_adapters` is
+    /// true.
     pub fn summary(&mut self, now_ms: u64, with_adapters: bool) -> Summary {
         self.sequence += 1;
         Summary {
             endpoint: self.endpoint.clone(),
             epoch: self.epoch,
             sequence: self.sequence,
-            healthy: self.usability == Usability::Usable && (self.verified || !self.is_engine),
+            healthy: self.usability == Usability::Usable && (self.is_verified || !self.is_engine),
             adapters: with_adapters.then(|| self.slots.keys().cloned().collect()),
             running: self.running.len() as u32,
             queued: self.queue.len() as u32,
@@ -428,14 +434,14 @@
     }
 
     fn coldest_rate(&self, now_ms: u64) -> f32 {
-        match self.find_room(now_ms) {
+        match self.find_slot(now_ms) {
             None => f32::INFINITY,
-            Some(Room::Free) => 0.0,
-            Some(Room::Evict(victim)) => self.popularity.rate_per_s(now_ms, &victim) as f32,
+            Some(SlotSource::Free) => 0.0,
+            Some(SlotSource::Evict(victim)) => self.popularity.rate_per_s(now_ms, &victim) as f32,
         }
     }
 
-    /// The adapters in slots, with whether each is loaded and how many of its requests run.
+    /// The adapters in slots, with whether each is loaded and the number of its running requests.
     pub fn adapters(&self) -> Vec<(AdapterKey, bool, u32)> {
         let mut adapters = Vec::with_capacity(self.slots.len());
         for (adapter, slot) in &self.slots {
@@ -444,7 +450,8 @@
         adapters
     }
 
-    fn pump(&mut self, now_ms: u64) {
+    /// Dispatches requests while places are free, then asks for the permits that loads need.
+    fn schedule(&mut self, now_ms: u64) {
         if self.usability != Usability::Usable {
             return;
         }
@@ -453,11 +460,11 @@
             let Some(job) = self.queue.pop(&adapter, priority) else { break };
             self.dispatch(now_ms, job);
         }
-        self.ask_permits(now_ms);
+        self.request_permits(now_ms);
     }
 
-    /// The group and priority whose oldest request is due next: by priority and age, with a lead
-    /// for workspaces that have little running and for adapters that are in the batch already.
+    /// The adapter and priority of the next request: ordered by priority and age, with a lead for
+    /// workspaces with few running requests and for adapters that are already in the batch.
     fn next_to_dispatch(&self, now_ms: u64) -> Option<(Option<AdapterKey>, Priority)> {
         let other_adapter_ms = (self.settings.batch_efficiency_weight * OTHER_ADAPTER_MS) as u64;
         let mut best: Option<(u64, &Option<AdapterKey>, Priority)> = None;
@@ -466,11 +473,11 @@
             if adapter.is_some() && slot.is_none_or(|slot| slot.loaded_at_ms.is_none()) {
                 continue;
             }
-            let is_other = slot.is_some_and(|slot| slot.running == 0);
+            let is_outside_batch = slot.is_some_and(|slot| slot.running == 0);
             for job in group.heads() {
                 let running = self.running_by_workspace.get(&job.workspace).copied().unwrap_or(0);
                 let mut due_ms = self.due_ms(job) + running * FAIRNESS_MS;
-                if is_other {
+                if is_outside_batch {
                     due_ms += other_adapter_ms;
                 }
                 if job.deadline_ms > now_ms && best.is_none_or(|(best_ms, _, _)| due_ms < best_ms) {
@@ -481,7 +488,8 @@
         best.map(|(_, adapter, priority)| (adapter.clone(), priority))
     }
 
-    /// Each step of priority counts like `aging_ms` of waiting, so none waits for ever.
+    /// The position in the dispatch order, as a time: a level of priority counts as `aging_ms` of
+    /// waiting, so that no request waits forever.
     fn due_ms(&self, job: &Job) -> u64 {
         job.arrived_ms + job.priority as u64 * self.settings.aging_ms
     }
@@ -514,7 +522,7 @@
         queue_ms.max(load_ms) as u64
     }
 
-    /// About how long what waits now takes to be dispatched.
+    /// The estimated time until all requests that wait now are dispatched.
     fn drain_ms(&self) -> u64 {
         let rounds = self.queue.len() as f64 / f64::from(self.places.max(1));
         ((rounds * self.service_ms) as u64).max(RETRY_AFTER_MIN_MS)
--- a/src/policy/queue.rs
+++ b/src/policy/queue.rs
@@ -1,24 +1,24 @@
-//! Requests that wait at one endpoint, by adapter and priority.
+//! The requests that wait at one endpoint, by adapter and priority.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
 
 use crate::message::{AdapterKey, Priority};
 
-/// A request as the policy sees it.
+/// A request with the properties that determine its place in the queue.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// Its number at this owner.
+    /// The id of the request at this owner.
     pub id: u64,
-    /// The adapter it needs; none for a plain service.
+    /// The adapter that the request needs; `None` for a plain service.
     pub adapter: Option<AdapterKey>,
-    /// The workspace it belongs to.
+    /// The workspace of the request.
     pub workspace: Arc<str>,
-    /// Its priority.
+    /// The priority.
     pub priority: Priority,
-    /// When it came.
+    /// The time of arrival.
     pub arrived_ms: u64,
-    /// When its caller stops waiting.
+    /// The time at which the caller stops waiting.
     pub deadline_ms: u64,
 }
 
@@ -34,7 +34,7 @@
         self.queues.iter().map(VecDeque::len).sum()
     }
 
-    /// True without any request.
+    /// Returns true if there are no requests.
     pub fn is_empty(&self) -> bool {
         self.queues.iter().all(VecDeque::is_empty)
     }
@@ -63,7 +63,7 @@
 }
 
 impl Queue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new() -> Self {
         Self::default()
     }
@@ -73,13 +73,13 @@
         self.len
     }
 
-    /// True without any request.
+    /// Returns true if there are no requests.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// How many requests of `workspace` wait.
-    pub fn of_workspace(&self, workspace: &str) -> usize {
+    /// The number of waiting requests of `workspace`.
+    pub fn workspace_len(&self, workspace: &str) -> usize {
         self.by_workspace.get(workspace).copied().unwrap_or(0)
     }
 
@@ -88,12 +88,12 @@
         &self.groups
     }
 
-    /// True when a request waits for `adapter`.
-    pub fn waits_for(&self, adapter: &AdapterKey) -> bool {
+    /// Returns true if a request waits for `adapter`.
+    pub fn has_requests_for(&self, adapter: &AdapterKey) -> bool {
         self.groups.contains_key(&Some(adapter.clone()))
     }
 
-    /// Adds a request at the end of its queue.
+    /// Adds a request behind those of its adapter and priority.
     pub fn push(&mut self, job: Job) {
         self.len += 1;
         *self.by_workspace.entry(job.workspace.clone()).or_insert(0) += 1;
@@ -101,18 +101,18 @@
         group.queue(job.priority).push_back(job);
     }
 
-    /// Takes the oldest request of a group's priority.
+    /// Removes the oldest request of an adapter and priority.
     pub fn pop(&mut self, adapter: &Option<AdapterKey>, priority: Priority) -> Option<Job> {
         let group = self.groups.get_mut(adapter)?;
         let job = group.queue(priority).pop_front()?;
         if group.is_empty() {
             self.groups.remove(adapter);
         }
-        self.forget(&job);
+        self.note_removed(&job);
         Some(job)
     }
 
-    /// Takes the youngest request of the lowest priority that is below `priority`.
+    /// Removes the most recent request of the lowest priority below `priority`.
     pub fn pop_below(&mut self, priority: Priority) -> Option<Job> {
         for lower in Priority::ALL.into_iter().rev() {
             if lower <= priority {
@@ -138,11 +138,11 @@
         if group.is_empty() {
             self.groups.remove(adapter);
         }
-        self.forget(&job);
+        self.note_removed(&job);
         Some(job)
     }
 
-    /// Takes every request for which `wanted` holds.
+    /// Removes all requests that `wanted` selects.
     pub fn take(&mut self, wanted: impl Fn(&Job) -> bool) -> Vec<Job> {
         let mut taken = Vec::new();
         for group in self.groups.values_mut() {
@@ -158,12 +158,12 @@
         }
         self.groups.retain(|_, group| !group.is_empty());
         for job in &taken {
-            self.forget(job);
+            self.note_removed(job);
         }
         taken
     }
 
-    fn forget(&mut self, job: &Job) {
+    fn note_removed(&mut self, job: &Job) {
         self.len -= 1;
         if let Some(count) = self.by_workspace.get_mut(&job.workspace) {
             *count -= 1;
--- a/src/policy/quota/credits.rs
+++ b/src/policy/quota/credits.rs
@@ -3,32 +3,35 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use super::{ASK_BELOW, ASK_EVERY_MS, CreditAsk, CreditGrant, HORIZON_MS, KEEP_MS};
+use super::{
+    ASK_BELOW_FRACTION, ASK_INTERVAL_MS, AUTONOMY_MS, CreditAsk, CreditGrant, RENEWAL_INTERVAL_MS,
+};
 
-/// Over how long the units that are asked for are averaged.
-const AVERAGED_MS: f64 = 4_000.0;
-/// A workspace that asked for nothing for so long is forgotten.
+/// The time constant of the moving average of demand.
+const DEMAND_TIME_CONSTANT_MS: f64 = 4_000.0;
+/// A workspace without requests for this long is forgotten.
 const IDLE_MS: u64 = 60_000;
-/// An ask that is not answered within this time will not be soon: some round trips to the leader.
-const ANSWER_MAX_MS: u64 = 400;
-/// When a client may come again that a gateway without a leader could not let in.
-const CUT_OFF_AGAIN_MS: u64 = 300;
+/// An ask without an answer for this long, a few round trips to the leader, will not be answered
+/// soon.
+const ANSWER_TIMEOUT_MS: u64 = 400;
+/// The time after which a client may retry at a gateway without a leader.
+const CUT_OFF_RETRY_MS: u64 = 300;
 
-/// What becomes of a request.
+/// The decision on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// It is admitted, and its units are used up.
+    /// The request is admitted and its units are used.
     Granted,
-    /// It waits until more credit comes.
+    /// The request waits for more credit.
     Wait,
-    /// Its workspace asked for more than its quota.
+    /// The workspace has exceeded its quota.
     Over {
-        /// When it may come again.
+        /// The time after which the client may retry.
         after_ms: u64,
     },
-    /// There is no credit left and nobody to ask for more.
+    /// No credit is left, and no answer to an ask for more is expected.
     CutOff {
-        /// When it may come again.
+        /// The time after which the client may retry.
         after_ms: u64,
     },
 }
@@ -37,21 +40,21 @@
 #[derive(Debug, Default)]
 struct Credit {
     units: u64,
-    /// Until when the units may be used.
+    /// The time until which the units may be used.
     valid_until_ms: u64,
     /// Units that requests wait for.
     waiting: u64,
-    /// Units that were asked for since the average was taken.
-    asked_for: u64,
+    /// Units that requests needed since the last update of the average.
+    requested: u64,
     averaged_at_ms: u64,
-    /// Units a second that are asked for.
+    /// The moving average of the demand, in units per second; starts at 0.
     rate_per_s: f64,
-    /// The share of the average that has been seen: a new one has no past.
-    seen: f64,
-    /// When the ask was sent that is not answered yet.
+    /// The total weight of the samples in the average; corrects for its start at 0.
+    average_weight: f64,
+    /// When the ask that is not answered yet was sent.
     asked_at_ms: Option<u64>,
     last_asked_at_ms: u64,
-    dry_until_ms: u64,
+    exhausted_until_ms: u64,
     used_at_ms: u64,
 }
 
@@ -61,34 +64,34 @@
             self.units = 0;
         }
         let passed_ms = now_ms.saturating_sub(self.averaged_at_ms);
-        if passed_ms < ASK_EVERY_MS {
+        if passed_ms < ASK_INTERVAL_MS {
             return;
         }
         self.averaged_at_ms = now_ms;
-        let keep = (-(passed_ms as f64) / AVERAGED_MS).exp();
-        let rate_per_s = self.asked_for as f64 * 1_000.0 / passed_ms as f64;
-        self.asked_for = 0;
+        let keep = (-(passed_ms as f64) / DEMAND_TIME_CONSTANT_MS).exp();
+        let rate_per_s = self.requested as f64 * 1_000.0 / passed_ms as f64;
+        self.requested = 0;
         self.rate_per_s = self.rate_per_s * keep + rate_per_s * (1.0 - keep);
-        self.seen = self.seen * keep + (1.0 - keep);
+        self.average_weight = self.average_weight * keep + (1.0 - keep);
     }
 
     fn target(&self) -> u64 {
-        if self.seen == 0.0 {
+        if self.average_weight == 0.0 {
             return 0;
         }
-        (self.rate_per_s / self.seen * HORIZON_MS as f64 / 1_000.0) as u64
+        (self.rate_per_s / self.average_weight * AUTONOMY_MS as f64 / 1_000.0) as u64
     }
 
-    fn wants(&self, now_ms: u64) -> bool {
+    fn is_ask_due(&self, now_ms: u64) -> bool {
         if self.asked_at_ms.is_some() {
             return false;
         }
         if self.waiting > self.units {
-            return now_ms >= self.dry_until_ms;
+            return now_ms >= self.exhausted_until_ms;
         }
         let since_ms = now_ms.saturating_sub(self.last_asked_at_ms);
-        let is_low = (self.units as f64) < self.target() as f64 * ASK_BELOW;
-        is_low && since_ms >= ASK_EVERY_MS || self.units > 0 && since_ms >= KEEP_MS
+        let is_low = (self.units as f64) < self.target() as f64 * ASK_BELOW_FRACTION;
+        is_low && since_ms >= ASK_INTERVAL_MS || self.units > 0 && since_ms >= RENEWAL_INTERVAL_MS
     }
 }
 
@@ -100,59 +103,60 @@
 }
 
 impl Credits {
-    /// No credit yet, and nobody to ask.
+    /// Creates empty credits without a connection.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes that a request of `workspace` came that costs so many units, and admits it if it can.
+    /// Counts a request of `workspace` that costs `cost` units and admits it if the credit allows.
     pub fn admit(&mut self, now_ms: u64, workspace: &Arc<str>, cost: u64) -> Admission {
         if !self.by_workspace.contains_key(workspace) {
             let credit = Credit { averaged_at_ms: now_ms.saturating_sub(1), ..Credit::default() };
             self.by_workspace.insert(workspace.clone(), credit);
         }
         if let Some(credit) = self.by_workspace.get_mut(workspace) {
-            credit.asked_for += cost;
+            credit.requested += cost;
             credit.used_at_ms = now_ms;
         }
         self.take(now_ms, workspace, cost)
     }
 
-    /// The same for a request that has waited.
+    /// Admits a request that has been counted before, if the credit allows.
     pub fn take(&mut self, now_ms: u64, workspace: &Arc<str>, cost: u64) -> Admission {
         let Some(credit) = self.by_workspace.get_mut(workspace) else {
-            return Admission::CutOff { after_ms: CUT_OFF_AGAIN_MS };
+            return Admission::CutOff { after_ms: CUT_OFF_RETRY_MS };
         };
         credit.advance(now_ms);
         if credit.units >= cost {
             credit.units -= cost;
             return Admission::Granted;
         }
-        if now_ms < credit.dry_until_ms {
-            return Admission::Over { after_ms: credit.dry_until_ms - now_ms };
+        if now_ms < credit.exhausted_until_ms {
+            return Admission::Over { after_ms: credit.exhausted_until_ms - now_ms };
         }
-        let is_unanswered = credit.asked_at_ms.is_some_and(|at_ms| at_ms + ANSWER_MAX_MS <= now_ms);
-        if !self.is_linked || is_unanswered {
-            return Admission::CutOff { after_ms: CUT_OFF_AGAIN_MS };
+        let is_ask_overdue =
+            credit.asked_at_ms.is_some_and(|at_ms| at_ms + ANSWER_TIMEOUT_MS <= now_ms);
+        if !self.is_linked || is_ask_overdue {
+            return Admission::CutOff { after_ms: CUT_OFF_RETRY_MS };
         }
         Admission::Wait
     }
 
-    /// Notes that a request waits for so many units.
+    /// Notes that a request waits for `cost` units.
     pub fn begin_wait(&mut self, workspace: &str, cost: u64) {
         if let Some(credit) = self.by_workspace.get_mut(workspace) {
             credit.waiting += cost;
         }
     }
 
-    /// Notes that it waits no longer.
+    /// Notes that a request no longer waits for `cost` units.
     pub fn end_wait(&mut self, workspace: &str, cost: u64) {
         if let Some(credit) = self.by_workspace.get_mut(workspace) {
             credit.waiting = credit.waiting.saturating_sub(cost);
         }
     }
 
-    /// Gives back the units of a request that did not run.
+    /// Returns the units of a request that did not run.
     pub fn give_back(&mut self, now_ms: u64, workspace: &str, cost: u64) {
         if let Some(credit) = self.by_workspace.get_mut(workspace)
             && now_ms < credit.valid_until_ms
@@ -161,7 +165,7 @@
         }
     }
 
-    /// Notes that there is somebody to ask from now on, who knows nothing yet.
+    /// Notes a new connection to a leader or distributor, which knows of no ask yet.
     pub fn linked(&mut self) {
         self.is_linked = true;
         for credit in self.by_workspace.values_mut() {
@@ -170,7 +174,7 @@
         }
     }
 
-    /// Notes that there is nobody to ask: what was asked for does not come.
+    /// Notes that the connection is lost: pending asks will not be answered.
     pub fn unlinked(&mut self) {
         self.is_linked = false;
         for credit in self.by_workspace.values_mut() {
@@ -178,7 +182,7 @@
         }
     }
 
-    /// What to ask for now.
+    /// Takes the asks to send now.
     pub fn take_asks(&mut self, now_ms: u64) -> Vec<CreditAsk> {
         let mut asks = Vec::new();
         if !self.is_linked {
@@ -189,7 +193,7 @@
             credit.waiting > 0 || credit.used_at_ms + IDLE_MS > now_ms
         });
         for (workspace, credit) in &mut self.by_workspace {
-            if !credit.wants(now_ms) {
+            if !credit.is_ask_due(now_ms) {
                 continue;
             }
             credit.asked_at_ms = Some(now_ms);
@@ -204,7 +208,7 @@
         asks
     }
 
-    /// Takes over what was granted.
+    /// Adds granted credit.
     pub fn granted(&mut self, now_ms: u64, grants: Vec<CreditGrant>) {
         for CreditGrant { workspace, units, dry_ms, valid_ms } in grants {
             let Some(credit) = self.by_workspace.get_mut(&workspace) else { continue };
@@ -213,19 +217,19 @@
             credit.units += units;
             credit.valid_until_ms = asked_at_ms + u64::from(valid_ms);
             if dry_ms > 0 {
-                credit.dry_until_ms = now_ms + u64::from(dry_ms);
+                credit.exhausted_until_ms = now_ms + u64::from(dry_ms);
             }
         }
     }
 
-    /// True when requests wait for what nobody was asked for.
+    /// Returns true if requests wait for units that have not been asked for.
     pub fn has_urgent_ask(&self, now_ms: u64) -> bool {
         let mut credits = self.by_workspace.values();
         self.is_linked
-            && credits.any(|credit| credit.waiting > credit.units && credit.wants(now_ms))
+            && credits.any(|credit| credit.waiting > credit.units && credit.is_ask_due(now_ms))
     }
 
-    /// The units that are held for `workspace`.
+    /// The units held for `workspace`.
     pub fn held(&self, workspace: &str) -> u64 {
         self.by_workspace.get(workspace).map_or(0, |credit| credit.units)
     }
--- a/src/policy/quota/holders.rs
+++ b/src/policy/quota/holders.rs
@@ -1,11 +1,11 @@
-//! Who holds credit of one workspace, as far as that was told.
+//! The holders of one workspace's credit, as known from their asks.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use super::{CREDIT_VALID_MS, CreditAsk, CreditGrant, LAPSE_MARGIN_MS};
+use super::{CREDIT_VALID_MS, CreditAsk, CreditGrant, EXPIRY_MARGIN_MS};
 
-/// An answer for a holder.
+/// The answer to a holder.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HolderGrant {
     /// The holder.
@@ -14,7 +14,7 @@
     pub grant: CreditGrant,
 }
 
-/// What one holder has.
+/// The credit of one holder.
 #[derive(Debug)]
 struct Holding {
     held: u64,
@@ -28,15 +28,15 @@
     by_name: HashMap<Arc<str>, Holding>,
     held: u64,
     targets: u64,
-    lapses_looked_at_ms: u64,
+    expiry_checked_at_ms: u64,
 }
 
-/// How often holders that were silent for too long are looked for.
-const LAPSES_EVERY_MS: u64 = 200;
+/// The interval between checks for expired credit.
+const EXPIRY_CHECK_INTERVAL_MS: u64 = 200;
 
 impl Holders {
-    /// Takes in what a holder has and wants; true when it was not known.
-    pub(super) fn asked(&mut self, now_ms: u64, holder: &Arc<str>, ask: &CreditAsk) -> bool {
+    /// Records an ask; returns true if the holder was unknown.
+    pub(super) fn record_ask(&mut self, now_ms: u64, holder: &Arc<str>, ask: &CreditAsk) -> bool {
         let is_new = !self.forget(holder);
         self.held += ask.held;
         self.targets += ask.target;
@@ -45,7 +45,7 @@
         is_new
     }
 
-    /// Takes in that a holder got more than its requests waited for.
+    /// Records units granted in addition to those that requests waited for.
     pub(super) fn granted(&mut self, holder: &str, units: u64) {
         if let Some(holding) = self.by_name.get_mut(holder) {
             holding.held += units;
@@ -53,29 +53,29 @@
         }
     }
 
-    /// What is out with all of them.
+    /// The outstanding units of all holders.
     pub(super) fn held(&self) -> u64 {
         self.held
     }
 
-    /// What all of them would like to hold.
+    /// The sum of the targets of all holders.
     pub(super) fn targets(&self) -> u64 {
         self.targets
     }
 
-    /// Forgets holders whose credit has lapsed.
-    pub(super) fn advance(&mut self, now_ms: u64) {
-        if now_ms < self.lapses_looked_at_ms + LAPSES_EVERY_MS {
+    /// Forgets holders whose credit has expired.
+    pub(super) fn remove_expired(&mut self, now_ms: u64) {
+        if now_ms < self.expiry_checked_at_ms + EXPIRY_CHECK_INTERVAL_MS {
             return;
         }
-        self.lapses_looked_at_ms = now_ms;
-        let mut lapsed = Vec::new();
+        self.expiry_checked_at_ms = now_ms;
+        let mut expired = Vec::new();
         for (name, holding) in &self.by_name {
-            if holding.asked_at_ms + CREDIT_VALID_MS + LAPSE_MARGIN_MS <= now_ms {
-                lapsed.push(name.clone());
+            if holding.asked_at_ms + CREDIT_VALID_MS + EXPIRY_MARGIN_MS <= now_ms {
+                expired.push(name.clone());
             }
         }
-        for name in lapsed {
+        for name in expired {
             self.forget(&name);
         }
     }
--- a/src/policy/quota/pool.rs
+++ b/src/policy/quota/pool.rs
@@ -4,18 +4,22 @@
 use std::sync::Arc;
 
 use super::holders::{HolderGrant, Holders};
-use super::{CREDIT_VALID_MS, CreditAsk, CreditGrant, LAPSE_MARGIN_MS, QuotaBounds, Shares};
+use super::{CREDIT_VALID_MS, CreditAsk, CreditGrant, EXPIRY_MARGIN_MS, QuotaBounds, Shares};
 use crate::routing::{Quota, RoutingConfiguration};
 
-/// The part of what may be out that is granted in advance; what holders report lags behind.
-const IN_ADVANCE: f64 = 0.95;
-/// The part of the burst that is kept for requests that wait.
-const KEPT_BURST: f64 = 0.5;
-/// The part of what may be out that a new leader grants while what an earlier one granted may still be out.
-const AFTER_ELECTION: f64 = 0.2;
-/// How long an ask waits for credit to come in; one that would wait longer is answered at once.
-const QUEUED_MAX_MS: f64 = 150.0;
-/// The longest time for which a holder is sent away: demand may end sooner than it looks.
+/// The fraction of the outstanding limit that is granted in advance; reports of holders are
+/// delayed.
+const ADVANCE_FRACTION: f64 = 0.95;
+/// The fraction of the burst that is reserved for waiting requests.
+const RESERVED_BURST_FRACTION: f64 = 0.5;
+/// The fraction of the outstanding limit that a new leader grants while credit of an earlier one
+/// may still be outstanding.
+const AFTER_ELECTION_FRACTION: f64 = 0.2;
+/// The maximum time that an ask waits for units to be refilled; an ask that would wait longer is
+/// answered at once.
+const QUEUE_WAIT_MAX_MS: f64 = 150.0;
+/// The maximum time for which a holder is told that units are exhausted: demand may end sooner than
+/// estimated.
 const DRY_MAX_MS: f64 = 500.0;
 
 /// The pool of one workspace.
@@ -24,11 +28,11 @@
     quota: Quota,
     shares: Shares,
     level: f64,
-    filled_at_ms: u64,
-    /// Asks that wait for credit to come in, the earliest first.
+    refilled_at_ms: u64,
+    /// Asks that wait for units to be refilled, oldest first.
     queue: VecDeque<(Arc<str>, CreditAsk)>,
     holders: Holders,
-    /// What holders had from an earlier leader when they asked this one first.
+    /// Units that holders had from an earlier leader when they first asked this one.
     adopted: f64,
 }
 
@@ -38,22 +42,22 @@
             quota,
             shares,
             level,
-            filled_at_ms: now_ms,
+            refilled_at_ms: now_ms,
             queue: VecDeque::new(),
             holders: Holders::default(),
             adopted: 0.0,
         }
     }
 
-    fn fill(&mut self, now_ms: u64) {
-        let passed_ms = now_ms.saturating_sub(self.filled_at_ms);
-        self.filled_at_ms = self.filled_at_ms.max(now_ms);
-        let comes_in = self.shares.rate_per_s * passed_ms as f64 / 1_000.0;
-        self.level = (self.level + comes_in).min(self.shares.burst);
+    fn refill(&mut self, now_ms: u64) {
+        let passed_ms = now_ms.saturating_sub(self.refilled_at_ms);
+        self.refilled_at_ms = self.refilled_at_ms.max(now_ms);
+        let refilled = self.shares.rate_per_s * passed_ms as f64 / 1_000.0;
+        self.level = (self.level + refilled).min(self.shares.burst);
     }
 
-    /// Answers a holder, unless its ask waits for credit to come in; while the leader `follows` another one,
-    /// what that one granted may be out beside.
+    /// Answers an ask, unless it waits for units to be refilled. While the leader `follows` another
+    /// one, units granted by that leader may be outstanding too.
     fn ask(
         &mut self,
         now_ms: u64,
@@ -61,44 +65,45 @@
         ask: &CreditAsk,
         follows: bool,
     ) -> Option<CreditGrant> {
-        self.fill(now_ms);
-        self.holders.advance(now_ms);
+        self.refill(now_ms);
+        self.holders.remove_expired(now_ms);
         self.queue.retain(|(waiting, _)| waiting != holder);
-        let is_new = self.holders.asked(now_ms, holder, ask);
+        let is_new = self.holders.record_ask(now_ms, holder, ask);
         if follows && is_new {
-            self.adopted = (self.adopted + ask.held as f64).min(self.earlier_out_max());
+            self.adopted = (self.adopted + ask.held as f64).min(self.earlier_outstanding_max());
         }
-        let out_max = self.out_max(follows);
-        // What requests wait for is used up as it comes, so that it does not count for what is out.
+        let outstanding_max = self.outstanding_max(follows);
+        // Units that requests wait for are used at once, so they do not count as outstanding.
         let (urgent, available) = (ask.urgent as f64, self.level.max(0.0));
         let queued: f64 = self.queue.iter().map(|(_, ask)| ask.urgent as f64).sum();
         let wait_ms = self.wait_ms(queued + urgent);
         if wait_ms <= 0.0 || urgent == 0.0 {
-            let in_advance = if queued > 0.0 { 0.0 } else { self.in_advance(ask, out_max) };
-            return Some(self.grant(holder, ask, urgent.max(in_advance), 0.0));
+            let advance_units =
+                if queued > 0.0 { 0.0 } else { self.advance_units(ask, outstanding_max) };
+            return Some(self.grant(holder, ask, urgent.max(advance_units), 0.0));
         }
-        if wait_ms <= QUEUED_MAX_MS {
+        if wait_ms <= QUEUE_WAIT_MAX_MS {
             self.queue.push_back((holder.clone(), ask.clone()));
             return None;
         }
-        let left = (available - queued).max(0.0);
-        Some(self.grant(holder, ask, left, wait_ms.min(DRY_MAX_MS)))
+        let remaining = (available - queued).max(0.0);
+        Some(self.grant(holder, ask, remaining, wait_ms.min(DRY_MAX_MS)))
     }
 
-    /// Answers asks that waited and can be granted now.
+    /// Answers waiting asks that can be answered now.
     fn advance(&mut self, now_ms: u64) -> Vec<HolderGrant> {
         let mut answers = Vec::new();
         if self.queue.is_empty() {
             return answers;
         }
-        self.fill(now_ms);
+        self.refill(now_ms);
         while let Some((_, ask)) = self.queue.front() {
             let wait_ms = self.wait_ms(ask.urgent as f64);
-            if wait_ms > 0.0 && wait_ms <= QUEUED_MAX_MS {
+            if wait_ms > 0.0 && wait_ms <= QUEUE_WAIT_MAX_MS {
                 break;
             }
             let Some((holder, ask)) = self.queue.pop_front() else { break };
-            // The quota may have been lowered since it was asked.
+            // The quota may have been lowered since the ask arrived.
             let units = (ask.urgent as f64).min(self.level.max(0.0));
             let grant = self.grant(&holder, &ask, units, wait_ms.clamp(0.0, DRY_MAX_MS));
             answers.push(HolderGrant { holder, grant });
@@ -106,7 +111,7 @@
         answers
     }
 
-    /// When the pool will hold so many units; never if they are more than it holds at most.
+    /// The time until the pool holds `units`; infinite if they exceed its capacity.
     fn wait_ms(&self, units: f64) -> f64 {
         if units > self.shares.burst {
             return f64::INFINITY;
@@ -128,26 +133,26 @@
         CreditGrant { workspace, units: units as u64, dry_ms: dry_ms.ceil() as u32, valid_ms }
     }
 
-    /// What can be granted in advance.
-    fn in_advance(&self, ask: &CreditAsk, out_max: f64) -> f64 {
-        let in_advance_max = out_max * IN_ADVANCE;
-        let scale = (in_advance_max / (self.holders.targets() as f64).max(1.0)).min(1.0);
+    /// The units that can be granted in advance.
+    fn advance_units(&self, ask: &CreditAsk, outstanding_max: f64) -> f64 {
+        let advance_max = outstanding_max * ADVANCE_FRACTION;
+        let scale = (advance_max / (self.holders.targets() as f64).max(1.0)).min(1.0);
         let wanted = ask.target as f64 * scale - ask.held as f64;
-        let spare = self.level - self.shares.burst * KEPT_BURST;
-        wanted.min(spare).min(in_advance_max - self.holders.held() as f64).max(0.0)
+        let spare = self.level - self.shares.burst * RESERVED_BURST_FRACTION;
+        wanted.min(spare).min(advance_max - self.holders.held() as f64).max(0.0)
     }
 
-    /// The units that an earlier leader may have let out.
-    fn earlier_out_max(&self) -> f64 {
-        self.shares.out * (1.0 - AFTER_ELECTION)
+    /// The maximum number of units of an earlier leader that may be outstanding.
+    fn earlier_outstanding_max(&self) -> f64 {
+        self.shares.outstanding * (1.0 - AFTER_ELECTION_FRACTION)
     }
 
-    /// The units that may be out with the holders that are known.
-    fn out_max(&self, follows: bool) -> f64 {
+    /// The maximum number of units that may be outstanding with known holders.
+    fn outstanding_max(&self, follows: bool) -> f64 {
         if follows {
-            self.adopted + self.shares.out * AFTER_ELECTION
+            self.adopted + self.shares.outstanding * AFTER_ELECTION_FRACTION
         } else {
-            self.earlier_out_max()
+            self.earlier_outstanding_max()
         }
     }
 }
@@ -156,22 +161,25 @@
 #[derive(Debug)]
 pub struct Pools {
     bounds: QuotaBounds,
-    /// Until when credit may be out that an earlier leader granted.
+    /// The time until which units of an earlier leader may be outstanding.
     earlier_until_ms: u64,
     by_workspace: HashMap<Arc<str>, Pool>,
-    /// Workspaces with asks that wait.
+    /// Workspaces with waiting asks.
     queued: HashSet<Arc<str>>,
 }
 
 impl Pools {
-    /// No pools yet; a leader that takes over fills them from nothing.
+    /// Creates a set without pools; a leader that follows another one also calls
+    /// [`with_earlier_leader`](Self::with_earlier_leader).
     pub fn new(bounds: QuotaBounds) -> Self {
         Self { bounds, earlier_until_ms: 0, by_workspace: HashMap::new(), queued: HashSet::new() }
     }
 
-    /// The pools of a leader that follows another one: what that one granted may be out.
+    /// Creates the pools of a leader that follows another one, whose units may still be
+    /// outstanding.
     ///
-    /// They begin empty, so that leaders in a row grant no more than the quota's rate between them.
+    /// The pools start empty, so that successive leaders together grant no more than the quota's
+    /// rate.
     #[must_use]
     pub fn with_earlier_leader(
         mut self,
@@ -183,26 +191,26 @@
             pool.level = 0.0;
         }
         if !self.by_workspace.is_empty() {
-            self.earlier_until_ms = now_ms + CREDIT_VALID_MS + LAPSE_MARGIN_MS;
+            self.earlier_until_ms = now_ms + CREDIT_VALID_MS + EXPIRY_MARGIN_MS;
         }
         self
     }
 
-    /// Lets the pools of a leader that follows another one begin with a part of their burst, if the earlier
-    /// leader's term began a whole window ago: at most one leader in a window does so.
+    /// Fills the pools of a leader that follows another one with a part of their burst if the term
+    /// of the earlier leader began at least one window ago: at most one leader per window does so.
     #[must_use]
     pub fn with_earlier_term_age(mut self, ago_ms: u64) -> Self {
         if ago_ms < self.bounds.window_ms {
             return self;
         }
         for pool in self.by_workspace.values_mut() {
-            pool.level = pool.shares.first.min(pool.shares.burst);
+            pool.level = pool.shares.initial.min(pool.shares.burst);
         }
         self
     }
 
-    /// Takes a configuration over. A pool whose quota is new begins full, one whose quota changed goes on
-    /// with what it has.
+    /// Applies a configuration. The pool of a new quota starts full; the pool of a changed one
+    /// keeps its level.
     pub fn configure(&mut self, now_ms: u64, configuration: &RoutingConfiguration) {
         let mut before = std::mem::take(&mut self.by_workspace);
         for workspace in &configuration.workspaces {
@@ -212,7 +220,7 @@
                 Some(pool) if pool.quota.unit == quota.unit => pool,
                 _ => Pool::new(now_ms, quota, shares, shares.burst),
             };
-            pool.fill(now_ms);
+            pool.refill(now_ms);
             pool.quota = quota;
             pool.shares = shares;
             pool.level = pool.level.min(shares.burst);
@@ -220,9 +228,10 @@
         }
     }
 
-    /// Answers what a holder has and wants, unless it waits for credit to come in.
+    /// Answers an ask, unless it waits for units to be refilled.
     ///
-    /// A workspace without a quota is answered with what was asked for: the holder follows another version.
+    /// For a workspace without a quota, the units that requests wait for are granted: the holder
+    /// has another version of the configuration.
     pub fn ask(&mut self, now_ms: u64, holder: &Arc<str>, ask: &CreditAsk) -> Option<CreditGrant> {
         let follows = now_ms < self.earlier_until_ms;
         let Some(pool) = self.by_workspace.get_mut(&ask.workspace) else {
@@ -236,7 +245,7 @@
         answer
     }
 
-    /// Lets time pass; gives the answers to asks that waited.
+    /// Answers waiting asks that can be answered now.
     pub fn advance(&mut self, now_ms: u64) -> Vec<HolderGrant> {
         let mut answers = Vec::new();
         self.queued.retain(|workspace| {
--- a/src/policy/rank.rs
+++ b/src/policy/rank.rs
@@ -1,43 +1,45 @@
-//! In which order an engine should read prompts.
+//! The order in which an engine reads prompts.
 //!
-//! Engines read one prompt after the other, the lowest rank first. A request that cannot meet its
-//! latency objective any more loses little by waiting longer, and must not make others late.
+//! Engines read one prompt after another, the lowest rank first. A request that can no longer meet
+//! its latency objective loses little by waiting longer and must not make others late.
 
-/// Bounds between the sizes of prompts, by how long each takes to be read: a short one holds up
-/// others little, and a long one does not feel a short one before it.
+/// Bounds between the size classes of prompts, by reading time: a short prompt delays others
+/// little, and a long prompt is delayed little by a short one.
 const SIZE_BOUNDS_MS: [f64; 3] = [60.0, 200.0, 400.0];
-/// The lowest priority that is told from others, so that every request in time goes before late ones.
+/// The lowest priority that affects the rank; keeps the ranks of all requests in time below
+/// `LATE_RANK`.
 const PRIORITY_MAX: u8 = 3;
-/// The rank of a request that is late whatever comes first.
+/// The rank of a request that will miss its latency objective in any case.
 pub const LATE_RANK: u8 = 8;
 
-/// What decides a request's rank at an engine.
+/// What determines the rank of a request at an engine.
 #[derive(Debug, Clone, Copy)]
 pub struct Urgency {
-    /// The priority of its route; 0 goes first.
+    /// The priority of the route; 0 goes first.
     pub priority: u8,
-    /// What is left of its latency objective; nothing once it has passed.
+    /// The rest of the latency objective; 0 once it has passed.
     pub left_ms: f64,
-    /// How long its prompt takes to be read.
+    /// The time to read the prompt.
     pub reading_ms: f64,
 }
 
 impl Urgency {
-    /// True when the request is late even if only `wait_ms` pass before it is read.
+    /// Returns true if the request misses its objective after a wait of only `wait_ms`.
     pub fn is_late_after(&self, wait_ms: f64) -> bool {
         wait_ms + self.reading_ms > self.left_ms
     }
 
-    /// The rank at an engine that reads for `wait_ms` before it.
+    /// The rank at an engine that reads other prompts for `wait_ms` first.
     pub fn rank_after(&self, wait_ms: f64) -> u8 {
-        let mut size = 0;
+        let mut size_class = 0;
         for bound_ms in SIZE_BOUNDS_MS {
-            size += u8::from(self.reading_ms > bound_ms);
+            size_class += u8::from(self.reading_ms > bound_ms);
         }
-        // A short one never waits for others: it would gain them next to nothing.
-        if size > 0 && self.is_late_after(wait_ms) {
+        // Requests in the smallest class never wait for late ones: delaying them would save the
+        // others next to nothing.
+        if size_class > 0 && self.is_late_after(wait_ms) {
             return LATE_RANK;
         }
-        self.priority.min(PRIORITY_MAX) + size
+        self.priority.min(PRIORITY_MAX) + size_class
     }
 }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -1,6 +1,6 @@
-//! A budget for retries, so that they cannot multiply an overload.
+//! A retry budget, which keeps retries from amplifying an overload.
 
-/// Allows a share of retries for each first attempt, and a burst.
+/// A token bucket that each first attempt fills by `ratio` of a retry, up to `burst`.
 #[derive(Debug)]
 pub struct RetryBudget {
     ratio: f64,
@@ -9,17 +9,17 @@
 }
 
 impl RetryBudget {
-    /// A budget that starts full.
+    /// Creates a full budget.
     pub fn new(ratio: f64, burst: f64) -> Self {
         Self { ratio, burst, tokens: burst }
     }
 
-    /// Notes a first attempt.
+    /// Counts a first attempt.
     pub fn note_request(&mut self) {
         self.tokens = (self.tokens + self.ratio).min(self.burst);
     }
 
-    /// Takes one retry out of the budget; false when it is spent.
+    /// Takes one retry from the budget; returns false if the budget is exhausted.
     pub fn take(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
--- a/src/policy/route.rs
+++ b/src/policy/route.rs
@@ -1,7 +1,7 @@
-//! Where a request goes: the endpoint whose wait, load and batch cost least.
+//! Endpoint selection: the endpoint whose wait, load and batch cost least.
 //!
-//! A gateway knows the endpoints of its region from their owners' summaries, which are up to a
-//! second old, and from what it routed itself since.
+//! A gateway knows the endpoints of its region from the summaries of their owners, which are up to
+//! a second old, and from the requests that it has sent since.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,41 +11,43 @@
 use crate::message::{AdapterKey, Summary};
 use crate::settings::PolicySettings;
 
-/// The most endpoints that are weighed for an adapter that is loaded nowhere, in the order of their
-/// hash with the adapter: all gateways look at the same few, so that they rarely load it twice.
+/// The maximum number of homes of an adapter. Homes are the endpoints considered for an adapter
+/// that is loaded nowhere, in the order of their hash with the adapter: all gateways consider the
+/// same few, so that they rarely load it twice.
 pub const MAX_HOMES: usize = 32;
-/// How many more are ranked than wanted.
+/// The number of endpoints ranked in addition to the wanted homes.
 const SPARE_HOMES: usize = 4;
-/// What each later one of these endpoints costs more, as a share of a load.
-const HOME_ORDER_COST: f64 = 0.05;
-/// The time within which an evicted adapter is expected to be missed.
+/// The additional cost of each later home, as a fraction of the time of a load.
+const LATER_HOME_COST: f64 = 0.05;
+/// The time over which requests for an evicted adapter count as a cost of its eviction.
 const EVICTION_HORIZON_S: f64 = 10.0;
-/// How much slower a full batch is than one request alone, as a share of the service time.
+/// The slowdown of a request in a full batch compared with a request alone, as a fraction of the
+/// service time.
 const FULL_BATCH_COST: f64 = 0.35;
-/// What an empty batch costs per unit of batch weight, as a share of the service time.
+/// The cost of an empty batch per unit of batch weight, as a fraction of the service time.
 const EMPTY_BATCH_COST: f64 = 0.6;
-/// How long an endpoint is left out after it was seen not to answer.
+/// How long an endpoint is avoided after it failed to answer.
 const AVOID_MS: u64 = 500;
 
-/// One endpoint as this gateway knows it.
+/// An endpoint as known to this gateway.
 #[derive(Debug)]
 pub struct Place {
-    /// Its name.
+    /// The name of the endpoint.
     pub name: Arc<str>,
-    /// Its pool.
+    /// The pool of the endpoint.
     pub pool: Arc<str>,
-    /// The gateway that owns it.
+    /// The gateway that owns the endpoint.
     pub owner: Option<Arc<str>>,
     /// The epoch of the ownership.
     pub epoch: u64,
-    /// True when it is about to leave.
+    /// True if the endpoint is about to shut down.
     pub leaving: bool,
     healthy: bool,
     avoided_until_ms: u64,
     running: u32,
     queued: u32,
-    /// Requests that this gateway itself has under way there.
-    own: u32,
+    /// Requests of this gateway that run or wait at the endpoint.
+    own_requests: u32,
     places: u32,
     sequence: u64,
     coldest_rate: f32,
@@ -54,22 +56,23 @@
 
 impl Place {
     fn load(&self) -> f64 {
-        f64::from((self.running + self.queued).max(self.own))
+        f64::from((self.running + self.queued).max(self.own_requests))
     }
 
-    fn takes_work(&self, now_ms: u64) -> bool {
+    fn can_take_work(&self, now_ms: u64) -> bool {
         self.healthy && !self.leaving && self.owner.is_some() && now_ms >= self.avoided_until_ms
     }
 }
 
-/// An endpoint in its pool, with its hash at hand: ranking a pool must not touch every place.
+/// The index of an endpoint and the hash of its name, so that ranking a pool does not access every
+/// `Place`.
 #[derive(Debug, Clone, Copy)]
 struct Member {
     position: usize,
     hash: u64,
 }
 
-/// The endpoints of the region and the rule that picks one of them.
+/// The endpoints of the region and the rule that selects one of them.
 #[derive(Debug)]
 pub struct Router {
     settings: PolicySettings,
@@ -82,7 +85,7 @@
 }
 
 impl Router {
-    /// A router that knows no endpoint yet.
+    /// Creates a router without endpoints.
     pub fn new(settings: PolicySettings) -> Self {
         Self {
             load_ms: settings.load_estimate_ms as f64,
@@ -95,9 +98,10 @@
         }
     }
 
-    /// Adds an endpoint, or notes its new owner.
+    /// Adds an endpoint or updates its owner.
     ///
-    /// `default_places` is what a plain service takes at once; an engine tells it in its summary.
+    /// `default_places` is the number of requests that a plain service runs at once; an engine
+    /// reports its own in its summary.
     pub fn put(
         &mut self,
         name: &Arc<str>,
@@ -110,7 +114,8 @@
         if let Some(position) = self.by_name.get(name).copied() {
             let Some(place) = &mut self.places[position] else { return };
             if epoch > place.epoch {
-                // What runs and waits is unknown until the new owner tells; what is loaded stays.
+                // The running and waiting requests are unknown until the new owner reports them;
+                // the loaded adapters stay loaded.
                 place.sequence = 0;
                 place.running = 0;
                 place.queued = 0;
@@ -133,7 +138,7 @@
             avoided_until_ms: 0,
             running: 0,
             queued: 0,
-            own: 0,
+            own_requests: 0,
             places: default_places.max(1),
             sequence: 0,
             coldest_rate: 0.0,
@@ -144,7 +149,7 @@
         self.pools.entry(pool.clone()).or_default().push(member);
     }
 
-    /// Drops an endpoint.
+    /// Removes an endpoint.
     pub fn remove(&mut self, name: &str) {
         let Some(position) = self.by_name.remove(name) else { return };
         self.set_adapters(position, Vec::new());
@@ -154,7 +159,7 @@
         }
     }
 
-    /// Drops every endpoint.
+    /// Removes all endpoints.
     pub fn clear(&mut self) {
         self.places.clear();
         self.by_name.clear();
@@ -162,17 +167,17 @@
         self.holders.clear();
     }
 
-    /// The endpoint of this name.
+    /// The endpoint called `name`.
     pub fn place(&self, name: &str) -> Option<&Place> {
         self.places[*self.by_name.get(name)?].as_ref()
     }
 
-    /// Takes an owner's summary in, unless a later one is known.
+    /// Applies an owner's summary unless a later one is known.
     pub fn observe(&mut self, summary: Summary) {
         let Some(position) = self.by_name.get(&summary.endpoint).copied() else { return };
         let Some(place) = &mut self.places[position] else { return };
-        let is_old = (summary.epoch, summary.sequence) <= (place.epoch, place.sequence);
-        if summary.epoch < place.epoch || is_old {
+        let is_outdated = (summary.epoch, summary.sequence) <= (place.epoch, place.sequence);
+        if summary.epoch < place.epoch || is_outdated {
             return;
         }
         place.sequence = summary.sequence;
@@ -203,12 +208,13 @@
         }
     }
 
-    /// True when the pool has any endpoint, usable or not.
+    /// Returns true if the pool has an endpoint, usable or not.
     pub fn has_pool(&self, pool: &str) -> bool {
         self.pools.get(pool).is_some_and(|members| !members.is_empty())
     }
 
-    /// True when the pool has an endpoint beside `endpoints` that is not about to leave, usable now or not.
+    /// Returns true if the pool has an endpoint, usable or not, that is not in `endpoints` and not
+    /// about to shut down.
     pub fn has_other(&self, pool: &str, endpoints: &[Arc<str>]) -> bool {
         let Some(members) = self.pools.get(pool) else { return false };
         members.iter().any(|member| {
@@ -217,16 +223,16 @@
         })
     }
 
-    /// Notes that a request was sent to an endpoint; [`note_ended`](Self::note_ended) follows.
+    /// Notes that a request was sent to an endpoint; [`note_ended`](Self::note_ended) must follow.
     pub fn note_sent(&mut self, name: &str, adapter: Option<&AdapterKey>) {
         let Some(position) = self.by_name.get(name).copied() else { return };
         let Some(place) = &mut self.places[position] else { return };
-        place.own += 1;
+        place.own_requests += 1;
         let Some(adapter) = adapter else { return };
         if place.adapters.contains(adapter) {
             return;
         }
-        // Later requests for the adapter follow this one and share its load.
+        // Later requests for the adapter go to the same endpoint and share its load.
         place.adapters.push(adapter.clone());
         self.holders.entry(adapter.clone()).or_default().push(position);
     }
@@ -235,7 +241,7 @@
     pub fn note_ended(&mut self, name: &str) {
         let Some(position) = self.by_name.get(name).copied() else { return };
         if let Some(place) = &mut self.places[position] {
-            place.own = place.own.saturating_sub(1);
+            place.own_requests = place.own_requests.saturating_sub(1);
         }
     }
 
@@ -247,7 +253,7 @@
         }
     }
 
-    /// Notes that a gateway does not answer: what it owns is avoided for a while.
+    /// Notes that a gateway does not answer; avoids the endpoints that it owns for `AVOID_MS`.
     pub fn note_owner_down(&mut self, now_ms: u64, owner: &str) {
         for place in self.places.iter_mut().flatten() {
             if place.owner.as_deref() == Some(owner) {
@@ -256,7 +262,7 @@
         }
     }
 
-    /// The endpoint of `pool` for a request, leaving out those in `tried`.
+    /// Selects an endpoint of `pool` for a request; leaves out those in `tried`.
     pub fn choose<'a>(
         &'a self,
         now_ms: u64,
@@ -270,17 +276,17 @@
         let Some(adapter) = adapter else {
             for member in members {
                 let Some(place) = self.admitted(member.position, &filter) else { continue };
-                best.offer(self.load_cost(place), place);
+                best.consider(self.wait_and_batch_cost(place), place);
             }
             return best.place;
         };
         let holders = self.holders.get(adapter).map_or(&[][..], Vec::as_slice);
         for position in holders {
             let Some(place) = self.admitted(*position, &filter) else { continue };
-            best.offer(self.load_cost(place), place);
+            best.consider(self.wait_and_batch_cost(place), place);
         }
-        // A second place pays only once the wait at the first outweighs a load; how full the batches
-        // are must not decide this, or adapters would follow the fullest engine.
+        // A second endpoint pays off only once the wait at the first outweighs a load. The state of
+        // the batches must not affect this, or adapters would be loaded at the fullest engine.
         if let Some(place) = best.place {
             let wait_ms = self.wait_ms(place);
             if !self.settings.second_place || wait_ms < self.miss_cost(0.0).max(self.load_ms) {
@@ -291,9 +297,9 @@
             if place.adapters.contains(adapter) {
                 continue;
             }
-            let order_ms = order as f64 * HOME_ORDER_COST * self.load_ms;
+            let later_home_ms = order as f64 * LATER_HOME_COST * self.load_ms;
             let miss_ms = self.miss_cost(f64::from(place.coldest_rate));
-            best.offer(self.load_cost(place) + miss_ms + order_ms, place);
+            best.consider(self.wait_and_batch_cost(place) + miss_ms + later_home_ms, place);
         }
         best.place
     }
@@ -302,35 +308,38 @@
         self.places[position].as_ref().filter(|place| filter.admits(place))
     }
 
-    /// The wait and the batch at an endpoint, in milliseconds of a request's time.
-    fn load_cost(&self, place: &Place) -> f64 {
+    /// The cost of the wait and of the batch at an endpoint, in milliseconds of a request's time.
+    fn wait_and_batch_cost(&self, place: &Place) -> f64 {
         let wait_ms = self.wait_ms(place);
         let fill = (place.load() / f64::from(place.places)).min(1.0);
-        let crowd_ms = self.settings.load_stall_weight * fill * FULL_BATCH_COST * self.service_ms;
-        let empty_ms = self.settings.batch_efficiency_weight
+        let full_batch_ms =
+            self.settings.load_stall_weight * fill * FULL_BATCH_COST * self.service_ms;
+        let empty_batch_ms = self.settings.batch_efficiency_weight
             * (1.0 - fill)
             * EMPTY_BATCH_COST
             * self.service_ms;
-        wait_ms + crowd_ms + empty_ms
+        wait_ms + full_batch_ms + empty_batch_ms
     }
 
-    /// How long a request is expected to wait for a place.
+    /// The expected wait for a free place.
     fn wait_ms(&self, place: &Place) -> f64 {
         let places = f64::from(place.places);
         (place.load() + 1.0 - places).max(0.0) / places * self.service_ms
     }
 
-    /// What loading costs this request and, later, those of the adapter that is evicted for it.
+    /// The cost of a load for this request and, later, for requests that need the evicted adapter.
     fn miss_cost(&self, coldest_rate: f64) -> f64 {
-        let missed = (coldest_rate * EVICTION_HORIZON_S).min(4.0);
-        self.settings.load_stall_weight * self.load_ms * (1.0 + missed)
+        let missed_requests = (coldest_rate * EVICTION_HORIZON_S).min(4.0);
+        self.settings.load_stall_weight * self.load_ms * (1.0 + missed_requests)
     }
 
-    /// The first endpoints of a pool, in the order of their hash with the adapter, that take work.
+    /// The first endpoints of a pool that can take work, in the order of their hash with the
+    /// adapter.
     fn homes(&self, adapter: &AdapterKey, members: &[Member], filter: &Filter<'_>) -> Vec<&Place> {
         let seed = xxh3_64(adapter.name.as_bytes()) ^ u64::from(adapter.version);
         let wanted = self.settings.homes;
-        // A few more are ranked, in case some of the first do not take work; all of them if need be.
+        // Ranks a few more than wanted, in case some of them cannot take work; ranks all if none of
+        // them can.
         for ranked in [(wanted + SPARE_HOMES).min(MAX_HOMES), members.len()] {
             let mut homes = Vec::with_capacity(wanted);
             for position in first_by_hash(seed, members, ranked) {
@@ -371,7 +380,7 @@
 
 impl Filter<'_> {
     fn admits(&self, place: &Place) -> bool {
-        place.takes_work(self.now_ms)
+        place.can_take_work(self.now_ms)
             && &*place.pool == self.pool
             && !self.tried.contains(&place.name)
     }
@@ -389,17 +398,17 @@
 }
 
 impl<'a> Best<'a> {
-    fn offer(&mut self, cost: f64, place: &'a Place) {
+    fn consider(&mut self, cost: f64, place: &'a Place) {
         if self.place.is_none() || cost < self.cost {
             *self = Self { cost, place: Some(place) };
         }
     }
 }
 
-/// Spreads the bits of a combined hash (the finalizer of SplitMix64).
+/// Mixes the bits of a combined hash (the finalizer of SplitMix64).
 fn mix(value: u64) -> u64 {
-    let mut mixed = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
-    mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    mixed ^ (mixed >> 31)
+    let mut bits = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
+    bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    bits = (bits ^ (bits >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    bits ^ (bits >> 31)
 }
--- a/src/policy/versions.rs
+++ b/src/policy/versions.rs
@@ -1,45 +1,48 @@
-//! Which versions of renewed weights requests may still begin on.
+//! Versions of weights: which replaced versions requests may still start on.
 //!
-//! Each version has its own age, which a newer one does not end: with one time for the newest only, an
-//! adapter renewed every two seconds kept its first version in use for as long as it was renewed.
-//! A version whose age is not known counts as old enough, so that a process that starts anew, or was told
-//! late, uses nothing that was replaced.
+//! Each version has its own deadline, which newer versions do not extend: with a single deadline,
+//! for the newest version, an adapter updated every two seconds kept its first version in use for
+//! as long as the updates went on. A version of unknown age counts as old enough, so that a process
+//! that has just started, or was informed late, uses no replaced version.
 
 use std::collections::HashMap;
 
 use crate::message::WeightsName;
 
-/// The part of the allowed time, in percent, for which gateways still send requests to an older version.
+/// The part of the allowed time, in percent, for which gateways still send requests to a replaced
+/// version.
 ///
-/// The rest is for those that wait at an endpoint: 3.8 s at most were seen, at overloaded ones. A load
-/// of the newer version takes about 0.3 s.
+/// The rest is for requests that wait at an endpoint: up to 3.8 s were seen at overloaded
+/// endpoints. A load of the newer version takes about 0.3 s.
 pub const SENT_PERCENT: u64 = 25;
-/// The part of the allowed time, in percent, after which an older version is taken from endpoints: what
-/// still waits there has not begun then and is refused as not run.
+/// The part of the allowed time, in percent, after which a replaced version is unloaded from
+/// endpoints: requests that still wait there have not started and are refused as not run.
 pub const HELD_PERCENT: u64 = 70;
-/// The part of the allowed time, in percent, after which a request that has not begun on an older version
-/// is taken back from where it waits.
+/// The part of the allowed time, in percent, after which a request that has not started on a
+/// replaced version is withdrawn from the endpoint where it waits.
 ///
-/// An endpoint that stands still takes no order before it has begun what it read: of 322 requests 16
-/// began 6.5 s after the newer version was acknowledged. By this time one that runs has refused
-/// what waited, as not run, which is better for the client; the rest is for the way there.
+/// A stalled endpoint executes no order before it has started the requests that it has read: of 322
+/// requests, 16 started 6.5 s after the newer version was acknowledged. By this time, an endpoint
+/// that is not stalled has refused its waiting requests as not run, which is better for the client;
+/// the rest of the allowed time is for the withdrawal to arrive.
 pub const BEGUN_PERCENT: u64 = 80;
-/// Into how many steps the allowed time is divided: a version that follows another within a step is due
-/// with it, so that no more than one for each step, and one, are kept.
+/// The number of steps that the allowed time is divided into: a version announced within a step of
+/// the previous one becomes due together with it, so that at most one version per step, plus one,
+/// is stored.
 const STEPS: u64 = 8;
 
-/// What is known of the versions of some weights.
+/// The known versions of one model or adapter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct KnownVersion {
-    /// The newest that was named.
+    /// The newest announced version.
     pub newest: u64,
-    /// For how long the newest has been known here.
+    /// How long this process has known the newest version.
     pub known_for_ms: u64,
-    /// The oldest that a request may still begin on; 0 while any will do.
+    /// The oldest version that a request may still start on; 0 if any may be used.
     pub due: u64,
 }
 
-/// A version whose time has not come.
+/// A version that becomes the oldest usable one at `due_at_ms`.
 #[derive(Debug, Clone, Copy)]
 struct Coming {
     version: u64,
@@ -47,15 +50,15 @@
 }
 
 #[derive(Debug, Clone, Default)]
-struct Renewed {
+struct WeightsVersions {
     newest: u64,
     newest_since_ms: u64,
     due: u64,
-    /// The oldest first.
+    /// Versions that are not due yet, oldest first.
     coming: Vec<Coming>,
 }
 
-impl Renewed {
+impl WeightsVersions {
     fn due(&self, now_ms: u64) -> u64 {
         let mut due = self.due;
         for coming in &self.coming {
@@ -66,92 +69,99 @@
         due
     }
 
-    fn settle(&mut self, now_ms: u64) {
+    fn advance(&mut self, now_ms: u64) {
         self.due = self.due(now_ms);
         let due = self.due;
         self.coming.retain(|coming| coming.version > due);
     }
 }
 
-/// The versions of all weights that were ever renewed.
+/// The announced versions of all weights.
 #[derive(Debug)]
 pub struct Versions {
-    /// How long a version that was replaced may still be used.
+    /// How long a replaced version may still be used.
     usable_ms: u64,
-    renewed: HashMap<WeightsName, Renewed>,
+    weights: HashMap<WeightsName, WeightsVersions>,
 }
 
 impl Versions {
-    /// No weights were renewed; one that is replaced may be used for `usable_ms`.
+    /// Creates an empty set; a replaced version may be used for `usable_ms`.
     pub fn new(usable_ms: u64) -> Self {
-        Self { usable_ms, renewed: HashMap::new() }
+        Self { usable_ms, weights: HashMap::new() }
     }
 
-    /// Notes a version that was named at `now_ms`, or since.
+    /// Records a version that was announced at `now_ms` or later.
     pub fn record(&mut self, now_ms: u64, name: WeightsName, version: u64) {
         let due_at_ms = now_ms + self.usable_ms;
         let step_ms = self.usable_ms / STEPS;
-        let Some(renewed) = self.note(now_ms, name, version) else { return };
-        match renewed.coming.last_mut() {
+        let Some(weights) = self.insert_newer(now_ms, name, version) else { return };
+        match weights.coming.last_mut() {
             Some(last) if due_at_ms < last.due_at_ms + step_ms => last.version = version,
-            _ => renewed.coming.push(Coming { version, due_at_ms }),
+            _ => weights.coming.push(Coming { version, due_at_ms }),
         }
     }
 
-    /// Notes a version that was named at some time before: nothing older may be used.
+    /// Records a version that was announced at an unknown earlier time: no older version may be
+    /// used.
     pub fn record_with_unknown_age(&mut self, now_ms: u64, name: WeightsName, version: u64) {
-        let Some(renewed) = self.note(now_ms, name, version) else { return };
-        renewed.due = version;
-        renewed.coming.clear();
+        let Some(weights) = self.insert_newer(now_ms, name, version) else { return };
+        weights.due = version;
+        weights.coming.clear();
     }
 
-    /// Takes a newer version over; nothing when it is not newer.
-    fn note(&mut self, now_ms: u64, name: WeightsName, version: u64) -> Option<&mut Renewed> {
-        let renewed = self.renewed.entry(name).or_default();
-        if version <= renewed.newest {
+    /// Records a version as the newest; returns `None` if a newer or equal one is known.
+    fn insert_newer(
+        &mut self,
+        now_ms: u64,
+        name: WeightsName,
+        version: u64,
+    ) -> Option<&mut WeightsVersions> {
+        let weights = self.weights.entry(name).or_default();
+        if version <= weights.newest {
             return None;
         }
-        renewed.settle(now_ms);
-        renewed.newest = version;
-        renewed.newest_since_ms = now_ms;
-        Some(renewed)
+        weights.advance(now_ms);
+        weights.newest = version;
+        weights.newest_since_ms = now_ms;
+        Some(weights)
     }
 
-    /// What is known of `name`; nothing when it was never renewed.
+    /// The known versions of `name`; `None` if none was announced.
     pub fn known_version(&self, now_ms: u64, name: &WeightsName) -> Option<KnownVersion> {
-        let renewed = self.renewed.get(name)?;
+        let weights = self.weights.get(name)?;
         Some(KnownVersion {
-            newest: renewed.newest,
-            known_for_ms: now_ms.saturating_sub(renewed.newest_since_ms),
-            due: renewed.due(now_ms),
+            newest: weights.newest,
+            known_for_ms: now_ms.saturating_sub(weights.newest_since_ms),
+            due: weights.due(now_ms),
         })
     }
 
-    /// The newest version of `name`; nothing when it was never renewed.
+    /// The newest version of `name`; `None` if none was announced.
     pub fn newest(&self, name: &WeightsName) -> Option<u64> {
-        self.renewed.get(name).map(|renewed| renewed.newest)
+        self.weights.get(name).map(|weights| weights.newest)
     }
 
-    /// The oldest version of `name` that a request may still begin on; 0 while any will do.
+    /// The oldest version of `name` that a request may still start on; 0 if any may be used.
     pub fn due(&self, now_ms: u64, name: &WeightsName) -> u64 {
-        self.renewed.get(name).map_or(0, |renewed| renewed.due(now_ms))
+        self.weights.get(name).map_or(0, |weights| weights.due(now_ms))
     }
 
-    /// When `held` falls, or fell, due; nothing while no newer version is known.
+    /// The time from which version `held` may no longer be used; `None` while no newer version is
+    /// known.
     pub fn due_at_ms(&self, now_ms: u64, name: &WeightsName, held: u64) -> Option<u64> {
-        let renewed = self.renewed.get(name)?;
-        if held >= renewed.newest {
+        let weights = self.weights.get(name)?;
+        if held >= weights.newest {
             return None;
         }
-        if held < renewed.due(now_ms) {
+        if held < weights.due(now_ms) {
             return Some(now_ms);
         }
-        let newer = renewed.coming.iter().find(|coming| coming.version > held)?;
+        let newer = weights.coming.iter().find(|coming| coming.version > held)?;
         Some(newer.due_at_ms)
     }
 
-    /// True when no weights were renewed.
+    /// Returns true if no version was announced.
     pub fn is_empty(&self) -> bool {
-        self.renewed.is_empty()
+        self.weights.is_empty()
     }
 }
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -1,5 +1,5 @@
-//! Quotas over all gateways together: what is used in any window, and what is refused, under random demand,
-//! cuts, restarts and changes of the leader.
+//! Quotas across all gateways: admitted units in any window, and refusals, under random demand,
+//! disconnections, restarts and changes of the leader.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -14,15 +14,15 @@
 
 const STEP_MS: u64 = 5;
 const LEADER_TICK_MS: u64 = 20;
-/// How long a message takes from one process to the next.
+/// The delay of a message from one process to the next.
 const HOP_MS: u64 = 5;
 const RATE_PER_S: f64 = 50_000.0;
 const BURST: f64 = 50_000.0;
-/// What an ordinary request costs, and one in twenty.
+/// The cost of an ordinary request, and of one in twenty.
 const COST: u64 = 700;
 const LARGE_COST: u64 = 9_000;
-/// Nothing but a share of the quota above it.
-const TIGHT: QuotaBounds = QuotaBounds { window_ms: 8_000, overrun: 0.1, slack: 0.0 };
+/// Allows only a fraction of the quota above it.
+const NO_SLACK: QuotaBounds = QuotaBounds { window_ms: 8_000, overrun: 0.1, slack: 0.0 };
 const BOUNDS: QuotaBounds = QuotaBounds { window_ms: 8_000, overrun: 0.1, slack: 110_000.0 };
 /// How long a request waits for credit.
 const WAIT_MS: u64 = 400;
@@ -45,24 +45,24 @@
 }
 
 enum Message {
-    /// A gateway's asks at its server.
-    Asks(usize, Vec<CreditAsk>),
-    /// A distributor's asks at the leader.
-    AsksFor(usize, Vec<CreditAsk>),
-    /// The leader's grants for a distributor.
-    GrantsFor(usize, Vec<CreditGrant>),
-    /// Grants for a gateway.
-    Grants(usize, Vec<CreditGrant>),
+    /// Asks of a gateway to its server.
+    GatewayAsks(usize, Vec<CreditAsk>),
+    /// Asks of a distributor to the leader.
+    DistributorAsks(usize, Vec<CreditAsk>),
+    /// Grants of the leader to a distributor.
+    DistributorGrants(usize, Vec<CreditGrant>),
+    /// Grants to a gateway.
+    GatewayGrants(usize, Vec<CreditGrant>),
 }
 
 struct Gateway {
     name: Arc<str>,
-    /// The distributor that serves it; none for the leader.
+    /// The distributor that serves the gateway; `None` for the leader.
     server: Option<usize>,
     credits: Credits,
     linked: bool,
     session: u64,
-    /// Requests that wait: what each costs, and until when.
+    /// Waiting requests: the cost and the end of the wait of each.
     waiting: Vec<(u64, u64)>,
 }
 
@@ -78,14 +78,15 @@
     leader: Option<Pools>,
     distributors: Vec<Distributor>,
     gateways: Vec<Gateway>,
-    /// Messages on their way: when they come, under which sessions they were sent, and what.
-    on_way: VecDeque<(u64, u64, Message)>,
+    /// Messages in transit: the time of arrival, the session in which each was sent, and the
+    /// content.
+    in_transit: VecDeque<(u64, u64, Message)>,
     sessions: u64,
     rate_per_s: f64,
     bounds: QuotaBounds,
-    /// Units that were admitted, by when.
+    /// The time and cost of each admitted request.
     admitted: Vec<(u64, u64)>,
-    asked: u64,
+    requested: u64,
     refused: u64,
 }
 
@@ -102,12 +103,12 @@
             leader: Some(pools),
             distributors: Vec::new(),
             gateways: Vec::new(),
-            on_way: VecDeque::new(),
+            in_transit: VecDeque::new(),
             sessions: 0,
             rate_per_s: RATE_PER_S,
             bounds,
             admitted: Vec::new(),
-            asked: 0,
+            requested: 0,
             refused: 0,
         };
         for number in 0..2 {
@@ -175,8 +176,8 @@
         }
     }
 
-    /// The leader ends; nobody leads until `elect`.
-    fn depose(&mut self) {
+    /// Ends the term of the leader; there is no leader until `elect`.
+    fn end_term(&mut self) {
         self.leader = None;
         for number in 0..self.distributors.len() {
             self.cut_distributor(number);
@@ -195,47 +196,48 @@
     }
 
     fn send(&mut self, session: u64, message: Message) {
-        self.on_way.push_back((self.now_ms + HOP_MS, session, message));
+        self.in_transit.push_back((self.now_ms + HOP_MS, session, message));
     }
 
     fn deliver(&mut self) {
-        while self.on_way.front().is_some_and(|(at_ms, ..)| *at_ms <= self.now_ms) {
-            let Some((_, session, message)) = self.on_way.pop_front() else { return };
+        while self.in_transit.front().is_some_and(|(at_ms, ..)| *at_ms <= self.now_ms) {
+            let Some((_, session, message)) = self.in_transit.pop_front() else { return };
             match message {
-                Message::Asks(number, asks) => self.take_asks(session, number, asks),
-                Message::AsksFor(number, asks) => {
+                Message::GatewayAsks(number, asks) => self.take_asks(session, number, asks),
+                Message::DistributorAsks(number, asks) => {
                     let distributor = &self.distributors[number];
                     if distributor.session != session {
                         continue;
                     }
                     let name = distributor.name.clone();
-                    let grants = self.lead(&name, &asks);
-                    self.send(session, Message::GrantsFor(number, grants));
+                    let grants = self.ask_pools(&name, &asks);
+                    self.send(session, Message::DistributorGrants(number, grants));
                 }
-                Message::GrantsFor(number, grants) => {
+                Message::DistributorGrants(number, grants) => {
                     if self.distributors[number].session != session {
                         continue;
                     }
                     let answers = self.distributors[number].pools.granted(self.now_ms, grants);
                     for answer in answers {
-                        let found = self.gateways.iter().position(|it| it.name == answer.holder);
+                        let found =
+                            self.gateways.iter().position(|gateway| gateway.name == answer.holder);
                         let Some(gateway) = found else { continue };
                         let session = self.gateways[gateway].session;
-                        self.send(session, Message::Grants(gateway, vec![answer.grant]));
+                        self.send(session, Message::GatewayGrants(gateway, vec![answer.grant]));
                     }
                     self.ask_leader(number);
                 }
-                Message::Grants(number, grants) => {
+                Message::GatewayGrants(number, grants) => {
                     if self.gateways[number].session == session {
                         self.gateways[number].credits.granted(self.now_ms, grants);
-                        self.look_again(number);
+                        self.retry_waiting(number);
                     }
                 }
             }
         }
     }
 
-    fn lead(&mut self, holder: &Arc<str>, asks: &[CreditAsk]) -> Vec<CreditGrant> {
+    fn ask_pools(&mut self, holder: &Arc<str>, asks: &[CreditAsk]) -> Vec<CreditGrant> {
         let Some(pools) = &mut self.leader else { return Vec::new() };
         asks.iter().filter_map(|ask| pools.ask(self.now_ms, holder, ask)).collect()
     }
@@ -243,12 +245,16 @@
     fn answer_waiting(&mut self) {
         let Some(pools) = &mut self.leader else { return };
         for HolderGrant { holder, grant } in pools.advance(self.now_ms) {
-            if let Some(number) = self.distributors.iter().position(|it| it.name == holder) {
+            if let Some(number) =
+                self.distributors.iter().position(|distributor| distributor.name == holder)
+            {
                 let session = self.distributors[number].session;
-                self.send(session, Message::GrantsFor(number, vec![grant]));
-            } else if let Some(number) = self.gateways.iter().position(|it| it.name == holder) {
+                self.send(session, Message::DistributorGrants(number, vec![grant]));
+            } else if let Some(number) =
+                self.gateways.iter().position(|gateway| gateway.name == holder)
+            {
                 let session = self.gateways[number].session;
-                self.send(session, Message::Grants(number, vec![grant]));
+                self.send(session, Message::GatewayGrants(number, vec![grant]));
             }
         }
     }
@@ -259,15 +265,15 @@
         }
         let name = self.gateways[number].name.clone();
         let Some(server) = self.gateways[number].server else {
-            let grants = self.lead(&name, &asks);
-            self.send(session, Message::Grants(number, grants));
+            let grants = self.ask_pools(&name, &asks);
+            self.send(session, Message::GatewayGrants(number, grants));
             return;
         };
         let pools = &mut self.distributors[server].pools;
         let grants: Vec<_> =
             asks.into_iter().filter_map(|ask| pools.ask(self.now_ms, &name, ask)).collect();
         if !grants.is_empty() {
-            self.send(session, Message::Grants(number, grants));
+            self.send(session, Message::GatewayGrants(number, grants));
         }
         self.ask_leader(server);
     }
@@ -276,7 +282,7 @@
         let asks = self.distributors[number].pools.take_asks(self.now_ms);
         if !asks.is_empty() {
             let session = self.distributors[number].session;
-            self.send(session, Message::AsksFor(number, asks));
+            self.send(session, Message::DistributorAsks(number, asks));
         }
     }
 
@@ -284,13 +290,13 @@
         let asks = self.gateways[number].credits.take_asks(self.now_ms);
         if !asks.is_empty() {
             let session = self.gateways[number].session;
-            self.send(session, Message::Asks(number, asks));
+            self.send(session, Message::GatewayAsks(number, asks));
         }
     }
 
-    /// A request comes to a gateway.
+    /// Handles a request at a gateway.
     fn request(&mut self, number: usize, cost: u64) {
-        self.asked += cost;
+        self.requested += cost;
         let admission = self.gateways[number].credits.admit(self.now_ms, &workspace(), cost);
         if admission == Admission::Wait {
             self.gateways[number].credits.begin_wait(&workspace(), cost);
@@ -309,7 +315,7 @@
         }
     }
 
-    fn look_again(&mut self, number: usize) {
+    fn retry_waiting(&mut self, number: usize) {
         for (cost, until_ms) in std::mem::take(&mut self.gateways[number].waiting) {
             let mut admission = self.gateways[number].credits.take(self.now_ms, &workspace(), cost);
             if admission == Admission::Wait {
@@ -325,7 +331,7 @@
         self.ask(number);
     }
 
-    /// Lets time pass.
+    /// Advances the simulation by one step.
     fn step(&mut self) {
         self.now_ms += STEP_MS;
         self.deliver();
@@ -333,25 +339,25 @@
             self.answer_waiting();
         }
         for number in 0..self.gateways.len() {
-            self.look_again(number);
+            self.retry_waiting(number);
         }
         for number in 0..self.distributors.len() {
             self.ask_leader(number);
         }
     }
 
-    /// The most that was admitted in a window.
-    fn most_in_window(&self) -> u64 {
-        let (mut most, mut sum, mut first) = (0, 0, 0);
+    /// The maximum number of units admitted in a window.
+    fn max_in_window(&self) -> u64 {
+        let (mut highest, mut sum, mut first) = (0, 0, 0);
         for (at_ms, cost) in &self.admitted {
             sum += cost;
             while self.admitted[first].0 + BOUNDS.window_ms <= *at_ms {
                 sum -= self.admitted[first].1;
                 first += 1;
             }
-            most = most.max(sum);
+            highest = highest.max(sum);
         }
-        most
+        highest
     }
 }
 
@@ -368,12 +374,12 @@
     if rng.random_range(0..20) == 0 { LARGE_COST } else { COST }
 }
 
-/// Any demand, and anything may fail at any time: never more than what is allowed.
+/// With random demand and failures at any time, the allowed units are never exceeded.
 #[yare::parameterized(
     as_on_the_platform = { BOUNDS },
-    tight = { TIGHT },
+    no_slack = { NO_SLACK },
 )]
-fn no_window_holds_more_than_is_allowed_whatever_fails(bounds: QuotaBounds) {
+fn no_window_exceeds_the_allowed_units_whatever_fails(bounds: QuotaBounds) {
     for seed in 0..seeds() {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut region = Region::with_bounds(9, bounds);
@@ -385,7 +391,7 @@
             }
             let units = RATE_PER_S * demand * STEP_MS as f64 / 1_000.0;
             let mut left = (units * rng.random_range(0.0..2.0)) as u64;
-            // Some gateways get far more than others.
+            // Some gateways receive far more requests than others.
             let spread = rng.random_range(1..=region.gateways.len());
             while left > 0 {
                 let cost = draw_cost(&mut rng);
@@ -394,7 +400,7 @@
             }
             match rng.random_range(0..600) {
                 0 if region.leader.is_some() => {
-                    region.depose();
+                    region.end_term();
                     elected_at_ms = region.now_ms + rng.random_range(600..2_500);
                 }
                 1 | 2 => {
@@ -402,7 +408,7 @@
                     region.cut_gateway(number);
                 }
                 3 => {
-                    // It starts anew and knows nothing.
+                    // The gateway restarts without any state.
                     let number = rng.random_range(0..region.gateways.len());
                     region.cut_gateway(number);
                     region.gateways[number].credits = Credits::new();
@@ -437,21 +443,21 @@
                 }
             }
         }
-        let most = region.most_in_window();
+        let highest = region.max_in_window();
         let allowed = allowed(bounds);
-        assert!(most as f64 <= allowed, "{most} of {allowed} in a window; seed {seed}");
-        assert!(most as f64 >= RATE_PER_S * 4.0, "only {most} in a window; seed {seed}");
+        assert!(highest as f64 <= allowed, "{highest} of {allowed} in a window; seed {seed}");
+        assert!(highest as f64 >= RATE_PER_S * 4.0, "only {highest} in a window; seed {seed}");
     }
 }
 
-/// A steady demand just below the quota, spread in any way, is served.
+/// A steady demand just below the quota is served, whichever gateways receive it.
 #[yare::parameterized(
     one_gateway = { 9, 1 },
     few = { 9, 3 },
     all = { 9, 9 },
     many = { 74, 74 },
 )]
-fn what_is_below_the_quota_is_served(gateways: usize, spread: usize) {
+fn demand_below_the_quota_is_served(gateways: usize, spread: usize) {
     for seed in 0..seeds() / 3 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut region = Region::new(gateways);
@@ -465,14 +471,14 @@
                 due -= cost as f64;
             }
         }
-        let served = 1.0 - region.refused as f64 / region.asked as f64;
-        assert!(served >= 0.98, "{served:.3} is served; seed {seed}");
+        let served = 1.0 - region.refused as f64 / region.requested as f64;
+        assert!(served >= 0.98, "{served:.3} of the demand is served; seed {seed}");
     }
 }
 
-/// Three times the quota: nearly all of the quota is used, and no more than is allowed.
+/// At three times the quota, nearly all of the quota is used, and no more than is allowed.
 #[test]
-fn what_is_above_the_quota_is_refused_and_the_quota_is_used() {
+fn demand_above_the_quota_is_refused_and_the_quota_is_used() {
     for seed in 0..seeds() / 3 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut region = Region::new(74);
@@ -489,14 +495,14 @@
         let admitted: u64 = region.admitted.iter().map(|(_, cost)| cost).sum();
         let used = admitted as f64 / (RATE_PER_S * 20.0);
         assert!(used >= 0.95, "{used:.3} of the quota is used; seed {seed}");
-        assert!(region.most_in_window() as f64 <= allowed(BOUNDS), "seed {seed}");
+        assert!(region.max_in_window() as f64 <= allowed(BOUNDS), "seed {seed}");
     }
 }
 
-/// A second and a half without a leader, at a demand as quotas are usually set for: most of it is served meanwhile, and
-/// all of it afterwards.
+/// With no leader for one and a half seconds, at a demand that is usual for quotas, most requests
+/// are served in the meantime and all of them afterwards.
 #[test]
-fn what_is_held_in_advance_lasts_through_an_election() {
+fn credit_held_in_advance_lasts_through_an_election() {
     for seed in 0..seeds() / 3 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut region = Region::new(30);
@@ -511,7 +517,7 @@
             }
             if region.now_ms == 6_000 {
                 refused_before = region.refused;
-                region.depose();
+                region.end_term();
             }
             if region.now_ms == 7_500 {
                 region.elect();
@@ -524,8 +530,8 @@
             }
         }
         let refused = region.refused - refused_before;
-        let asked_meanwhile = RATE_PER_S * 0.55 * 1.5;
-        assert!((refused as f64) < asked_meanwhile / 2.0, "{refused} refused; seed {seed}");
+        let asked_without_leader = RATE_PER_S * 0.55 * 1.5;
+        assert!((refused as f64) < asked_without_leader / 2.0, "{refused} refused; seed {seed}");
     }
 }
 
@@ -533,10 +539,11 @@
     CreditAsk { workspace: workspace(), held: 0, target: 0, urgent: units }
 }
 
-/// Asks for a little more than a pool ever holds: nobody of the workspace was let in again at the gateway that asked, since
-/// what it waited for could not come in, and each holder asks once at a time. The order of events: a pool is full; many
-/// requests wait at once; what is missing would come in within the time for which asks wait; the pool holds no more than
-/// its burst. Evidence: the ask below was not answered within a minute.
+/// Guards against an ask for slightly more than a pool can hold, which was never answered: the pool
+/// was full, many requests waited at once, and the missing units seemed to be refilled within the
+/// time for which asks wait, but a pool holds no more than its burst. The ask below was not
+/// answered within a minute, and since each holder has one ask at a time, the gateway admitted no
+/// further request of the workspace.
 #[yare::parameterized(
     a_little_more = { 1.05 },
     far_more = { 50.0 },
@@ -547,30 +554,31 @@
     let holder: Arc<str> = "g".into();
     let mut answer = pools.ask(1_000, &holder, &ask((BURST * bursts) as u64));
     for now_ms in (1_000..61_000).step_by(20) {
-        answer = answer.or_else(|| pools.advance(now_ms).pop().map(|it| it.grant));
+        answer = answer.or_else(|| pools.advance(now_ms).pop().map(|answer| answer.grant));
     }
-    let answer = answer.expect("it is answered within a minute");
+    let answer = answer.expect("an answer within a minute");
     assert!(answer.units > 0 && answer.dry_ms > 0, "{answer:?}");
 }
 
-/// The same when the quota is lowered while an ask waits.
+/// Guards against the same failure when the quota is lowered while an ask waits.
 #[test]
 fn an_ask_that_waits_is_answered_when_the_quota_is_lowered() {
     let mut pools = Pools::new(BOUNDS);
     pools.configure(0, &configuration(RATE_PER_S));
     let (one, other): (Arc<str>, Arc<str>) = ("g1".into(), "g2".into());
     assert!(pools.ask(1_000, &one, &ask(BURST as u64)).is_some());
-    assert_eq!(pools.ask(1_000, &other, &ask(5_000)), None, "it waits");
+    assert_eq!(pools.ask(1_000, &other, &ask(5_000)), None, "the ask waits");
     let mut lower = configuration(RATE_PER_S / 1_000.0);
-    lower.workspaces[0].quota.as_mut().expect("it has one").burst = 100.0;
+    lower.workspaces[0].quota.as_mut().expect("a quota").burst = 100.0;
     pools.configure(1_010, &lower);
     let answered = (1_010..2_010).step_by(20).any(|now_ms| !pools.advance(now_ms).is_empty());
-    assert!(answered, "it is answered within a second");
+    assert!(answered, "no answer within a second");
 }
 
 impl Region {
-    /// Lets so many milliseconds pass, with `demand` times the quota asked for at all gateways.
-    fn pass(&mut self, ms: u64, demand: f64, rng: &mut SmallRng) {
+    /// Advances the simulation by `ms` with requests for `demand` times the quota across all
+    /// gateways.
+    fn run_for(&mut self, ms: u64, demand: f64, rng: &mut SmallRng) {
         let mut due = 0.0;
         for _ in 0..ms / STEP_MS {
             self.step();
@@ -593,39 +601,40 @@
     }
 }
 
-/// What all gateways hold in advance, used up at once on top of a full pool.
+/// Uses all units held in advance at once, on top of a full pool.
 #[test]
-fn what_is_held_in_advance_fits_what_is_allowed() {
+fn credit_held_in_advance_stays_within_the_allowed_units() {
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut region = Region::with_bounds(60, TIGHT);
-    region.pass(8_000, 0.9, &mut rng);
-    region.pass(2_000, 0.0, &mut rng);
-    region.pass(10_000, 6.0, &mut rng);
-    let (most, allowed) = (region.most_in_window(), allowed(TIGHT));
-    assert!(most as f64 <= allowed, "{most} of {allowed} in a window");
+    let mut region = Region::with_bounds(60, NO_SLACK);
+    region.run_for(8_000, 0.9, &mut rng);
+    region.run_for(2_000, 0.0, &mut rng);
+    region.run_for(10_000, 6.0, &mut rng);
+    let (highest, allowed) = (region.max_in_window(), allowed(NO_SLACK));
+    assert!(highest as f64 <= allowed, "{highest} of {allowed} in a window");
 }
 
-/// One leader after the other, each of which knows nothing of what the former one granted.
+/// Guards against a burst from each of several successive leaders, which do not know what was
+/// granted before.
 #[yare::parameterized(
     as_on_the_platform = { BOUNDS },
-    tight = { TIGHT },
+    no_slack = { NO_SLACK },
 )]
 fn leaders_in_a_row_grant_no_burst_each(bounds: QuotaBounds) {
     let mut rng = SmallRng::seed_from_u64(2);
     let mut region = Region::with_bounds(9, bounds);
     for _ in 0..6 {
-        region.pass(1_500, 6.0, &mut rng);
-        region.depose();
-        region.pass(50, 6.0, &mut rng);
+        region.run_for(1_500, 6.0, &mut rng);
+        region.end_term();
+        region.run_for(50, 6.0, &mut rng);
         region.elect();
         region.link_all();
     }
-    let (most, allowed) = (region.most_in_window(), allowed(bounds));
-    assert!(most as f64 <= allowed, "{most} of {allowed} in a window");
+    let (highest, allowed) = (region.max_in_window(), allowed(bounds));
+    assert!(highest as f64 <= allowed, "{highest} of {allowed} in a window");
 }
 
 impl Region {
-    /// Elects a leader that knows from the log that the earlier one's term began at `earlier_at_ms`.
+    /// Elects a leader that knows from the log that the earlier term began at `earlier_at_ms`.
     fn elect_after(&mut self, earlier_at_ms: u64) {
         self.elect();
         let began_ago_ms = self.now_ms - earlier_at_ms;
@@ -640,12 +649,13 @@
     }
 }
 
-/// Guards against a burst from each of several leaders that know how long the term before them was.
+/// Guards against a burst from each of several leaders that know the length of the term before
+/// them.
 #[yare::parameterized(
     as_on_the_platform = { BOUNDS },
-    tight = { TIGHT },
+    no_slack = { NO_SLACK },
 )]
-fn leaders_after_terms_of_any_length_stay_within_what_is_allowed(bounds: QuotaBounds) {
+fn leaders_after_terms_of_any_length_stay_within_the_allowed_units(bounds: QuotaBounds) {
     for seed in 0..seeds() / 3 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut region = Region::with_bounds(9, bounds);
@@ -653,20 +663,20 @@
         let term_max_ms = if seed % 2 == 0 { 2 * bounds.window_ms } else { bounds.window_ms / 4 };
         for _ in 0..6 {
             let term_ms = rng.random_range(200..term_max_ms);
-            region.pass(term_ms, 6.0, &mut rng);
-            region.depose();
-            region.pass(50, 6.0, &mut rng);
+            region.run_for(term_ms, 6.0, &mut rng);
+            region.end_term();
+            region.run_for(50, 6.0, &mut rng);
             let now_ms = region.now_ms;
             region.elect_after(elected_at_ms);
             elected_at_ms = now_ms;
         }
-        region.pass(bounds.window_ms, 6.0, &mut rng);
-        let (most, allowed) = (region.most_in_window(), allowed(bounds));
-        assert!(most as f64 <= allowed, "{most} of {allowed} in a window; seed {seed}");
+        region.run_for(bounds.window_ms, 6.0, &mut rng);
+        let (highest, allowed) = (region.max_in_window(), allowed(bounds));
+        assert!(highest as f64 <= allowed, "{highest} of {allowed} in a window; seed {seed}");
     }
 }
 
-/// Guards against a quota that is not used after an election, since its new pool begins empty.
+/// Guards against an unused quota after an election, when the new pool starts empty.
 #[yare::parameterized(
     after_a_long_term = { 10_000 },
     after_a_short_term = { 1_000 },
@@ -674,23 +684,23 @@
 fn the_quota_is_used_after_an_election(earlier_term_ms: u64) {
     for seed in 0..seeds() / 3 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut region = Region::with_bounds(9, TIGHT);
-        region.pass(10_000, 1.5, &mut rng);
-        region.depose();
-        region.pass(50, 1.5, &mut rng);
+        let mut region = Region::with_bounds(9, NO_SLACK);
+        region.run_for(10_000, 1.5, &mut rng);
+        region.end_term();
+        region.run_for(50, 1.5, &mut rng);
         let now_ms = region.now_ms;
         region.elect_after(now_ms - earlier_term_ms);
-        region.pass(8_000, 1.5, &mut rng);
+        region.run_for(8_000, 1.5, &mut rng);
         let used = region.admitted_since(now_ms) as f64 / (RATE_PER_S * 8.0);
         assert!(used >= 0.98, "{used:.3} of the quota is used; seed {seed}");
     }
 }
 
 #[test]
-fn credit_of_a_gateway_that_is_cut_off_lapses() {
+fn credit_of_a_disconnected_gateway_expires() {
     let mut rng = SmallRng::seed_from_u64(3);
     let mut region = Region::new(9);
-    region.pass(4_000, 0.5, &mut rng);
+    region.run_for(4_000, 0.5, &mut rng);
     for number in 0..9 {
         region.cut_gateway(number);
     }
@@ -698,7 +708,7 @@
         let now_ms = region.now_ms;
         region.gateways[0].credits.take(now_ms, &workspace(), 1) == Admission::Granted
     };
-    assert!(held(&mut region), "it can go on for a while");
-    region.pass(5_500, 0.0, &mut rng);
-    assert!(!held(&mut region), "it has lapsed");
+    assert!(held(&mut region), "the credit is still valid");
+    region.run_for(5_500, 0.0, &mut rng);
+    assert!(!held(&mut region), "the credit has expired");
 }
--- a/tests/route.rs
+++ b/tests/route.rs
@@ -1,4 +1,4 @@
-//! Where a request goes, and when a retry is allowed.
+//! Endpoint selection and the retry budget.
 
 use std::sync::Arc;
 
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn all_gateways_load_an_adapter_at_the_same_place() {
+fn all_gateways_load_an_adapter_at_the_same_endpoint() {
     let (one, other) = (router(8), router(8));
     for number in 0..50 {
         let name = format!("adapter-{number}");
@@ -67,16 +67,16 @@
 }
 
 #[test]
-fn requests_follow_the_first_one_before_any_summary_tells() {
+fn requests_follow_the_first_one_before_any_summary() {
     let mut router = router(8);
-    let first = chosen(&router, "a").expect("a place");
+    let first = chosen(&router, "a").expect("an endpoint");
     router.note_sent(&first, Some(&adapter("a")));
-    // Another endpoint is emptier now, but this one is loading the adapter.
+    // Another endpoint is emptier, but this one is already loading the adapter.
     assert_eq!(chosen(&router, "a"), Some(first));
 }
 
 #[test]
-fn a_second_place_is_taken_only_when_the_first_is_overfull() {
+fn a_second_endpoint_is_used_only_when_the_first_is_overloaded() {
     let mut router = router(8);
     router.observe(summary(3, 2, PLACES, &["a"]));
     assert_eq!(chosen(&router, "a").as_deref(), Some("e3"));
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn endpoints_that_take_no_work_are_left_out() {
+fn endpoints_that_cannot_take_work_are_left_out() {
     let mut router = router(2);
     router.observe(summary(0, 2, 0, &["a"]));
     assert_eq!(chosen(&router, "a").as_deref(), Some("e0"));
@@ -109,7 +109,7 @@
     router.observe(summary(3, 5, 0, &["a"]));
     router.observe(summary(3, 4, 0, &[]));
     assert_eq!(chosen(&router, "a").as_deref(), Some("e3"));
-    // A new owner starts counting anew, and the old one is not listened to any more.
+    // A new owner restarts the sequence, and summaries of the old owner are ignored.
     router.put(&"e3".into(), &"pool".into(), Some("g1".into()), 2, false, 1);
     router.observe(Summary { epoch: 2, ..summary(3, 1, 0, &["b"]) });
     router.observe(summary(3, 6, 0, &["a"]));
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn retries_are_a_share_of_the_requests() {
+fn retries_are_a_fraction_of_the_requests() {
     let mut budget = RetryBudget::new(0.2, 5.0);
     let burst = (0..20).filter(|_| budget.take()).count();
     assert_eq!(burst, 5);
