--- a/src/policy/rank.rs
+++ b/src/policy/rank.rs
@@ -35,8 +35,8 @@
         for bound_ms in SIZE_BOUNDS_MS {
             size_class += u8::from(self.reading_ms > bound_ms);
         }
-        // Requests in the smallest class never wait for late ones: delaying them would save the
-        // others next to nothing.
+        // Prompts in the smallest class never get the rank of late ones: the other requests would
+        // gain next to nothing.
         if size_class > 0 && self.is_late_after(wait_ms) {
             return LATE_RANK;
         }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -66,7 +66,7 @@
     pub streams: bool,
     /// True if requests name a model and contain the parts of their prompt.
     pub generates: bool,
-    /// The maximum time for which a request is held.
+    /// The maximum time that a request may take.
     pub timeout_ms: u64,
     /// The latency objective for a response, or for the first event of a stream.
     pub latency_objective_ms: u64,
