--- a/src/control/placement/mod.rs
+++ b/src/control/placement/mod.rs
@@ -241,7 +241,7 @@
             self.forget_copies(&name);
         }
         self.renewed.insert(name.clone());
-        self.versions.named(now_ms, name, version);
+        self.versions.record(now_ms, name, version);
     }
 
     /// Drops copies of a replaced version: the newer one has to be loaded from the store.
@@ -255,7 +255,7 @@
 
     /// Records the newest version of weights that was published under an earlier leader.
     pub fn learn_version(&mut self, now_ms: u64, name: WeightsName, version: u64) {
-        self.versions.learnt(now_ms, name, version);
+        self.versions.record_with_unknown_age(now_ms, name, version);
     }
 
     /// Applies a heartbeat.
--- a/src/control/session.rs
+++ b/src/control/session.rs
@@ -247,7 +247,7 @@
             let own = self.loads.get(endpoint).copied().unwrap_or_default();
             let load = total.minus(own);
             let sent = self.loads_sent.get(endpoint).copied().unwrap_or_default();
-            if !counts::is_worth_telling(sent, load) {
+            if !counts::is_worth_reporting(sent, load) {
                 continue;
             }
             self.loads_sent.insert(endpoint.clone(), load);
--- a/src/relay/admission.rs
+++ b/src/relay/admission.rs
@@ -18,7 +18,7 @@
 use super::shared::Relay;
 use crate::http::{Answer, BodyFault, header, read_body};
 use crate::metrics::Counter;
-use crate::routing::{Chosen, RouteTable};
+use crate::routing::{RouteMatch, RouteTable};
 
 /// The time limit for reading a client's request body.
 const BODY_TIMEOUT_MS: u64 = 3_000;
@@ -29,7 +29,7 @@
 /// A request that was read completely and may be sent.
 pub(super) struct Admitted {
     pub(super) meta: RequestMeta,
-    pub(super) chosen: Chosen,
+    pub(super) chosen: RouteMatch,
     pub(super) access: Access,
     pub(super) used_credit: Option<UsedCredit>,
     pub(super) method: Method,
@@ -122,7 +122,7 @@
     relay: &Relay,
     started_ms: u64,
     meta: &RequestMeta,
-    chosen: &Chosen,
+    chosen: &RouteMatch,
     reason: NotSent,
 ) -> Answer {
     let counter = match reason {
--- a/src/relay/replaced.rs
+++ b/src/relay/replaced.rs
@@ -32,17 +32,17 @@
 
     /// Records a version that was named the newest one at `now_ms` or later.
     pub fn set_newest(&mut self, now_ms: u64, name: WeightsName, version: u64) {
-        self.versions.named(now_ms, name, version);
+        self.versions.record(now_ms, name, version);
     }
 
     /// Records a version that was named the newest one at an unknown earlier time.
     pub fn learn_newest(&mut self, now_ms: u64, name: WeightsName, version: u64) {
-        self.versions.learnt(now_ms, name, version);
+        self.versions.record_with_unknown_age(now_ms, name, version);
     }
 
     /// The known versions of the weights; `None` if they were never renewed.
     pub fn known_version(&self, now_ms: u64, name: &WeightsName) -> Option<KnownVersion> {
-        let known = self.versions.of(now_ms, name)?;
+        let known = self.versions.known_version(now_ms, name)?;
         Some(KnownVersion { due: self.version_due(now_ms, name), ..known })
     }
 
--- a/src/relay/shared.rs
+++ b/src/relay/shared.rs
@@ -160,7 +160,7 @@
     /// True from the time requests can be served until a planned stop begins.
     pub fn is_ready(&self) -> bool {
         let table = self.table();
-        let serves = !table.serves_keyed_only() || self.keys_valid_ms(self.now_ms()) > 0;
+        let serves = !table.needs_key_everywhere() || self.keys_valid_ms(self.now_ms()) > 0;
         table.version() > 0 && self.has_been_confirmed() && serves && !self.is_stopping()
     }
 
--- a/tests/counts.rs
+++ b/tests/counts.rs
@@ -8,7 +8,7 @@
 use winchvane::control::distribution::hello;
 use winchvane::control::session::Session;
 use winchvane::message::{EndpointLoad, Load};
-use winchvane::policy::counts::{is_worth_telling, period_ms};
+use winchvane::policy::counts::{is_worth_reporting, period_ms};
 
 fn session() -> Session {
     let address = ([127, 0, 0, 1], 9).into();
@@ -80,9 +80,9 @@
 fn insignificant_load_differences_are_not_reported() {
     let load =
         |running, waiting_ms, late_ms| Load { running, waiting_ms, late_ms, demand_per_min: 0 };
-    assert!(!is_worth_telling(load(3, 100, 0), load(3, 100, 0)));
-    assert!(!is_worth_telling(load(3, 100, 0), load(4, 112, 5)));
-    assert!(is_worth_telling(load(3, 100, 0), load(5, 100, 0)));
-    assert!(is_worth_telling(load(3, 100, 0), load(3, 80, 0)));
-    assert!(is_worth_telling(load(3, 100, 40), load(3, 100, 0)));
+    assert!(!is_worth_reporting(load(3, 100, 0), load(3, 100, 0)));
+    assert!(!is_worth_reporting(load(3, 100, 0), load(4, 112, 5)));
+    assert!(is_worth_reporting(load(3, 100, 0), load(5, 100, 0)));
+    assert!(is_worth_reporting(load(3, 100, 0), load(3, 80, 0)));
+    assert!(is_worth_reporting(load(3, 100, 40), load(3, 100, 0)));
 }
