--- a/src/control/raft/leading.rs
+++ b/src/control/raft/leading.rs
@@ -182,7 +182,7 @@
         None
     }
 
-    /// Requests a linearizable read. [`Output::reads`] reports `token` once a quorum has answered a
+    /// Requests a linearizable read. `Output::reads` reports `token` once a quorum has answered a
     /// round sent after this call.
     ///
     /// Returns false if this replica does not lead or has not yet committed an entry of its term.
