--- a/src/control/counts.rs
+++ b/src/control/counts.rs
@@ -70,7 +70,8 @@
         for endpoint in due {
             let mut total = Load::default();
             for session in sessions.clone() {
-                total = total.plus(session.loads.get(&endpoint).copied().unwrap_or_default());
+                total =
+                    total.saturating_add(session.loads.get(&endpoint).copied().unwrap_or_default());
             }
             totals.insert(endpoint, total);
         }
--- a/src/control/distribution/link.rs
+++ b/src/control/distribution/link.rs
@@ -228,5 +228,5 @@
 /// The `SessionHello` of a distributor.
 pub fn hello(name: Arc<str>, boot_id: u64, zone: Arc<str>, address: SocketAddr) -> SessionHello {
     let role = SessionRole::Distributor;
-    SessionHello { name, boot_id, zone, address, applied_index: 0, role, near_fails: false }
+    SessionHello { name, boot_id, zone, address, applied_index: 0, role, zone_server_failed: false }
 }
--- a/src/control/distribution/mod.rs
+++ b/src/control/distribution/mod.rs
@@ -436,7 +436,7 @@
         let own = self.counts.totals(now_ms, self.sessions.values(), self.view.remote_endpoints());
         let mut totals = own.clone();
         for (endpoint, total) in &mut totals {
-            *total = total.plus(self.view.remote_load(endpoint));
+            *total = total.saturating_add(self.view.remote_load(endpoint));
         }
         for session in self.sessions.values_mut() {
             if session.epoch.is_some() {
--- a/src/control/registry.rs
+++ b/src/control/registry.rs
@@ -170,7 +170,7 @@
         let replaced = self.replaced_by(&endpoint);
         let mut changes = Vec::new();
         for other in replaced {
-            if endpoint.is_other_life_of(&other) {
+            if endpoint.is_other_incarnation_of(&other) {
                 self.keep_holder(other.address, endpoint.address);
             }
             changes.extend(self.deregister(&other.id));
@@ -196,7 +196,7 @@
         let mut replaced = Vec::new();
         for other in self.endpoints.values() {
             let shares_address = other.address == endpoint.address && other.id != endpoint.id;
-            if shares_address || endpoint.is_other_life_of(other) {
+            if shares_address || endpoint.is_other_incarnation_of(other) {
                 replaced.push(other.clone());
             }
         }
--- a/src/control/replica/incarnations.rs
+++ b/src/control/replica/incarnations.rs
@@ -79,7 +79,7 @@
     /// Records the time of a registration that replaces another incarnation of the same name.
     pub(super) fn record_restart(&mut self, now_ms: u64, endpoint: &RegisteredEndpoint) {
         let earlier = self.state.registry.named(&endpoint.name);
-        if !earlier.is_some_and(|earlier| endpoint.is_other_life_of(earlier)) {
+        if !earlier.is_some_and(|earlier| endpoint.is_other_incarnation_of(earlier)) {
             return;
         }
         let restarted = &mut self.registered.restarted_at_ms;
--- a/src/control/replica/registration.rs
+++ b/src/control/replica/registration.rs
@@ -335,7 +335,7 @@
     /// The distributor in the gateway's availability zone, if it should serve the gateway instead
     /// of this leader.
     pub(super) fn nearer_server(&self, hello: &SessionHello) -> Option<SocketAddr> {
-        if hello.role != SessionRole::Follower || hello.near_fails {
+        if hello.role != SessionRole::Follower || hello.zone_server_failed {
             return None;
         }
         let own = self.own_address();
@@ -484,7 +484,7 @@
                 group.servers.push(SessionServer { zone, address });
             }
         }
-        if !group.differs_enough(&self.registered.group_sent) {
+        if !group.has_significant_change_from(&self.registered.group_sent) {
             return;
         }
         self.registered.group_sent = group.clone();
--- a/src/control/server.rs
+++ b/src/control/server.rs
@@ -370,7 +370,7 @@
         let sent = tokio::time::timeout(LINK_SEND_TIMEOUT, sender.send(&message)).await;
         let Ok(Ok(size_bytes)) = sent else {
             link = None;
-            peer.forget().await;
+            peer.drop_connection().await;
             continue;
         };
         traffic::count("raft", size_bytes);
--- a/src/control/session.rs
+++ b/src/control/session.rs
@@ -245,7 +245,7 @@
         let mut changed = Vec::new();
         for (endpoint, total) in totals {
             let own = self.loads.get(endpoint).copied().unwrap_or_default();
-            let load = total.minus(own);
+            let load = total.saturating_sub(own);
             let sent = self.loads_sent.get(endpoint).copied().unwrap_or_default();
             if !counts::is_worth_reporting(sent, load) {
                 continue;
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -182,7 +182,7 @@
             Outcome::Answered(reply) => return Ok(*reply),
             Outcome::Refused { refusal, retry_after_ms } => {
                 progress.record_refusal(target, refusal, retry_after_ms);
-                if !refusal.is_worth_another_endpoint() {
+                if !refusal.can_retry_elsewhere() {
                     return Err(progress.given_up);
                 }
             }
--- a/src/gateway/session.rs
+++ b/src/gateway/session.rs
@@ -64,7 +64,7 @@
         address: common.listen_peers,
         applied_index: shared.directory().index(),
         role: SessionRole::Owner,
-        near_fails: false,
+        zone_server_failed: false,
     };
     send(&mut sender, &SessionUp::Hello(hello)).await?;
     let mut renewals = interval(Duration::from_millis(shared.settings.lease.renew_ms));
--- a/src/message/forward.rs
+++ b/src/message/forward.rs
@@ -108,7 +108,7 @@
 
 impl Refusal {
     /// True when another endpoint may still take the request.
-    pub fn is_worth_another_endpoint(self) -> bool {
+    pub fn can_retry_elsewhere(self) -> bool {
         !matches!(self, Self::DeadlinePassed | Self::WorkspaceShare | Self::LoadBacklog)
     }
 
--- a/src/message/registration.rs
+++ b/src/message/registration.rs
@@ -78,7 +78,7 @@
     }
 
     /// True when `other` goes by the same name and is another incarnation.
-    pub fn is_other_life_of(&self, other: &Self) -> bool {
+    pub fn is_other_incarnation_of(&self, other: &Self) -> bool {
         self.name == other.name && self.id != other.id
     }
 }
@@ -154,7 +154,7 @@
 impl Load {
     /// The sum of both.
     #[must_use]
-    pub fn plus(self, other: Self) -> Self {
+    pub fn saturating_add(self, other: Self) -> Self {
         Self {
             running: self.running.saturating_add(other.running),
             waiting_ms: self.waiting_ms.saturating_add(other.waiting_ms),
@@ -165,7 +165,7 @@
 
     /// What is left without `other`.
     #[must_use]
-    pub fn minus(self, other: Self) -> Self {
+    pub fn saturating_sub(self, other: Self) -> Self {
         Self {
             running: self.running.saturating_sub(other.running),
             waiting_ms: self.waiting_ms.saturating_sub(other.waiting_ms),
--- a/src/message/session.rs
+++ b/src/message/session.rs
@@ -126,7 +126,7 @@
     /// What the session is for.
     pub role: SessionRole,
     /// True when the replica that serves its zone fails it, so that any other one will do.
-    pub near_fails: bool,
+    pub zone_server_failed: bool,
 }
 
 /// What a session with control is for.
@@ -185,7 +185,7 @@
 
 impl Group {
     /// True when those who were `told` another group should know.
-    pub fn differs_enough(&self, told: &Self) -> bool {
+    pub fn has_significant_change_from(&self, told: &Self) -> bool {
         let same_but_gateways = Self { gateways: told.gateways, ..self.clone() };
         let step = (told.gateways / GATEWAYS_STEP).max(1);
         same_but_gateways != *told || self.gateways.abs_diff(told.gateways) >= step
--- a/src/relay/session.rs
+++ b/src/relay/session.rs
@@ -96,7 +96,7 @@
         address,
         applied_index: 0,
         role: SessionRole::Follower,
-        near_fails: search.has_failed_server(relay.now_ms()),
+        zone_server_failed: search.has_failed_server(relay.now_ms()),
     };
     send(&mut sender, &SessionUp::Hello(hello)).await?;
     let mut renewals = interval(Duration::from_millis(RENEW_MS));
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -285,14 +285,14 @@
                 .ok_or_else(|| Error::failed("call", self.name.clone(), "no answer"))
         };
         let Ok(result) = timeout(Duration::from_millis(timeout_ms), exchange).await else {
-            self.forget().await;
+            self.drop_connection().await;
             return Err(Error::timeout("call", self.name.clone(), timeout_ms));
         };
         result
     }
 
     /// Drops the connection: the next use makes a new one, in case this one is cut without a sign.
-    pub async fn forget(&self) {
+    pub async fn drop_connection(&self) {
         *self.connection.lock().await = None;
     }
 
--- a/standin/src/bin/winchvane-bench.rs
+++ b/standin/src/bin/winchvane-bench.rs
@@ -685,7 +685,7 @@
         address: ([127, 0, 0, 1], 9).into(),
         applied_index: 0,
         role: SessionRole::Owner,
-        near_fails: false,
+        zone_server_failed: false,
     };
     sender.send(&SessionUp::Hello(hello)).await.expect("the hello is sent");
     let mut renewals = tokio::time::interval(Duration::from_secs(1));
--- a/tests/distribution.rs
+++ b/tests/distribution.rs
@@ -512,11 +512,11 @@
 #[test]
 fn group_differs_when_many_gateways_connect_or_disconnect() {
     let group = |gateways| Group { gateways, ..Group::default() };
-    assert!(group(7).differs_enough(&group(6)), "one more than six is significant");
-    assert!(!group(205).differs_enough(&group(200)));
-    assert!(group(180).differs_enough(&group(200)));
+    assert!(group(7).has_significant_change_from(&group(6)), "one more than six is significant");
+    assert!(!group(205).has_significant_change_from(&group(200)));
+    assert!(group(180).has_significant_change_from(&group(200)));
     let servers = vec![SessionServer { zone: "a".into(), address: address(3) }];
-    assert!(Group { servers, ..group(200) }.differs_enough(&group(200)));
+    assert!(Group { servers, ..group(200) }.has_significant_change_from(&group(200)));
 }
 
 /// Returns the version changes among messages to a gateway.
--- a/tests/fuzz_wire.rs
+++ b/tests/fuzz_wire.rs
@@ -123,7 +123,7 @@
 
 fn told_by_gateways() -> impl Strategy<Value = SessionUp> {
     let hello = (name(), drawn(), name(), drawn(), drawn(), drawn()).prop_map(
-        |(name, boot_id, zone, address, applied_index, near_fails)| {
+        |(name, boot_id, zone, address, applied_index, zone_server_failed)| {
             let role = SessionRole::Follower;
             SessionUp::Hello(SessionHello {
                 name,
@@ -132,7 +132,7 @@
                 address,
                 applied_index,
                 role,
-                near_fails,
+                zone_server_failed,
             })
         },
     );
--- a/tests/links.rs
+++ b/tests/links.rs
@@ -199,11 +199,13 @@
         // The leader announces its distributors once per reporting period.
         tokio::time::sleep(Duration::from_millis(150)).await;
         let mut answers = Vec::new();
-        for (session, zone, near_fails) in [(8, "b", false), (9, "b", true), (10, "c", false)] {
+        for (session, zone, zone_server_failed) in
+            [(8, "b", false), (9, "b", true), (10, "c", false)]
+        {
             let (down, mut received) = mpsc::channel(100);
             let hello = SessionHello {
                 role: SessionRole::Follower,
-                near_fails,
+                zone_server_failed,
                 ..hello("g1".into(), 1, zone.into(), distributor)
             };
             actor.cast(ReplicaMessage::Open(session, hello, down)).expect("the replica runs");
