--- a/src/binary.rs
+++ b/src/binary.rs
@@ -1,17 +1,17 @@
-//! Reading values from `bincode`, with no more memory than their bytes can need.
+//! Decoding of `bincode` values, with memory limited in proportion to the size of the input.
 
 use bincode::config::{Config, standard};
 use serde::de::DeserializeOwned;
 
-/// Reads one value that takes all of `bytes`.
+/// Decodes one value, which must use all of `bytes`.
 ///
-/// A length that stands in the bytes is memory asked for before what it counts is read, so what a
-/// value may claim is bounded: an encoded byte stands for 16 at most, those of a small `u128`, and the
-/// bounds go up by the same factor.
+/// The decoder allocates memory for a length prefix before it reads the data. The total that a
+/// value may claim is therefore limited: an encoded byte decodes to at most 16 bytes (a small
+/// `u128`), and the limits grow by the same factor.
 ///
 /// # Errors
-/// Bytes that are no such value, that claim more than they hold, or that go on behind it; told as one
-/// line.
+/// The bytes are not a valid value, claim more data than they hold, or continue after the value.
+/// The error is a single line of text.
 pub(crate) fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, String> {
     const KIB: usize = 1 << 10;
     const MIB: usize = 1 << 20;
--- a/src/message/control.rs
+++ b/src/message/control.rs
@@ -1,4 +1,5 @@
-//! What gateways, operators and replicas say to control, and its answers.
+//! Calls of gateways, operators and replicas to control, their answers, and the changes that
+//! control publishes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,128 +15,129 @@
 };
 use crate::routing::RoutingConfiguration;
 
-/// A change that gateways follow.
+/// A change that control publishes to gateways.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Change {
     /// A service was added or changed.
     Service(Service),
     /// A service was retired.
     ServiceRetired(Arc<str>),
-    /// An endpoint was added, changed or got another owner.
+    /// An endpoint was added or changed, or its owner changed.
     Endpoint(EndpointRecord),
-    /// An endpoint is gone.
+    /// An endpoint was removed.
     EndpointRemoved(Arc<str>),
     /// A gateway joined, or is leaving.
     Gateway(GatewayRecord),
-    /// A gateway is gone.
+    /// A gateway was removed.
     GatewayRemoved(Arc<str>),
     /// Another routing configuration is in force.
     Routing(Arc<RoutingConfiguration>),
-    /// An endpoint registered itself, or told something new of itself.
+    /// An endpoint registered itself or updated its registration.
     Registered(RegisteredEndpoint),
-    /// A registered endpoint is gone.
+    /// A registered endpoint was deregistered.
     Deregistered(Arc<str>),
-    /// Weights have just got a newer version.
+    /// A newer version of weights has just been announced.
     Version(NewestVersion),
-    /// Weights have had this version for a time that is not known: told with everything else, or late.
+    /// The newest version of weights, announced at an unknown time: the change is part of the whole
+    /// state, or was delivered late.
     VersionOfUnknownAge(NewestVersion),
-    /// Requests with some content are treated otherwise from now on.
+    /// The standing of requests with the same content changed.
     Request(RequestStanding),
 }
 
 /// A single call to control.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum ControlRequest {
-    /// Which log this replica holds; asked by a replica with an empty data folder.
+    /// Asks whether the group has been founded; sent by a replica with an empty data folder.
     Probe,
-    /// Asks to be taken into the group as a learner.
+    /// Asks to be added to the group as a learner.
     Join {
-        /// The new replica's identity.
+        /// The id of the new replica.
         id: NodeId,
-        /// Its name, which a replaced replica may have had before.
+        /// Its name, which may be the name of the replica that it replaces.
         name: Arc<str>,
-        /// Where peers reach it.
+        /// The address at which peers reach it.
         address: SocketAddr,
     },
     /// Submits declarations.
     Apply {
         /// The declarations.
         documents: Vec<Document>,
-        /// True to only check them.
+        /// True to only validate them.
         dry_run: bool,
     },
     /// Reads declarations.
     Get {
-        /// Only this kind.
+        /// Returns only this kind.
         kind: Option<DocumentKind>,
-        /// Only this name.
+        /// Returns only this name.
         name: Option<Arc<str>>,
     },
-    /// Claims a call that may not be repeated.
+    /// Claims the idempotency key of a call that must not be repeated.
     Claim(Claim),
-    /// Records what became of a claim.
+    /// Records the outcome of a claimed call.
     Settle {
         /// The claimed key.
         key: KeyDigest,
-        /// The claim's own id.
+        /// The id of the claim.
         claim_id: u128,
-        /// What became of it.
+        /// The outcome.
         settlement: Settlement,
     },
-    /// Asks for a share of the weight store's budget.
+    /// Asks for a permit to load weights, which counts against the budget of the weight store.
     Permit(PermitRequest),
-    /// Gives a permit back.
+    /// Returns a permit.
     PermitDone {
         /// The gateway that holds it.
         gateway: Arc<str>,
         /// The permit.
         permit_id: u64,
     },
-    /// A view of the group.
+    /// Reads the status of the group.
     Status,
-    /// Takes a whole routing configuration in, unless its version is not above the one held.
+    /// Replaces the routing configuration if the version is higher than that in force.
     PutRouting {
         /// The configuration.
         configuration: Arc<RoutingConfiguration>,
-        /// The operator's own document, given back on reads.
+        /// The operator's original document, which reads return.
         document: Arc<str>,
     },
     /// Reads the routing configuration.
     GetRouting,
-    /// Names the newest version of weights.
+    /// Announces the newest version of weights.
     PutVersion(NewestVersion),
     /// An endpoint's heartbeat.
     Heartbeat(Heartbeat),
-    /// An endpoint is about to end.
+    /// Announces that an endpoint is about to shut down.
     Deregister(EndpointEnd),
 }
 
-/// A request for one load from the weight store.
+/// A request for a permit to load weights once from the weight store.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct PermitRequest {
     /// The gateway that asks.
     pub gateway: Arc<str>,
     /// The epoch of its registration.
     pub gateway_epoch: u64,
-    /// How much waits for this load; the greatest is served first.
+    /// The demand that waits for the load; the request with the highest urgency is served first.
     pub urgency: f32,
-    /// How long the gateway waits for a permit.
+    /// The maximum time that the gateway waits for a permit.
     pub wait_ms: u32,
 }
 
 /// The answer to a [`ControlRequest`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum ControlReply {
-    /// This replica does not lead; the call had no effect.
+    /// This replica is not the leader; the call had no effect.
     NotLeader {
-        /// Where the leader may be.
+        /// The address of the leader, if this replica knows it; it may be outdated.
         leader: Option<SocketAddr>,
     },
-    /// Leadership was lost while the call was under way; it may have taken effect.
+    /// The replica lost leadership during the call, which may have taken effect.
     Lost,
     /// The answer to `Probe`.
     Probe(ProbeReply),
-    /// The replica is known to the group, or being taken in.
+    /// The replica is a member of the group or is being added.
     Joining,
     /// The answer to `Apply`.
     Applied(ApplyReply),
@@ -143,54 +145,54 @@
     Documents(Vec<Document>),
     /// The answer to `Claim`.
     Claimed(ClaimOutcome),
-    /// The settlement is recorded, or one was before.
+    /// The settlement is recorded, or the claim was settled before.
     Settled,
     /// A permit.
     Permit {
-        /// Its number.
+        /// The id of the permit.
         permit_id: u64,
-        /// How long it holds.
+        /// The time for which the permit is valid.
         valid_ms: u32,
     },
-    /// No permit could be had in time.
+    /// No permit became available in time.
     NoPermit {
-        /// When to ask again.
+        /// The time after which to ask again.
         retry_after_ms: u32,
     },
-    /// The permit is given back.
+    /// The permit is returned.
     PermitReturned,
     /// The answer to `Status`.
     Status(GroupStatus),
-    /// The call is not valid.
+    /// The call is not valid, with the reason.
     Invalid(String),
-    /// What was asked for is committed, or was so before.
+    /// The requested change is committed, or was committed before.
     Accepted,
-    /// A heartbeat was taken in.
+    /// A heartbeat was accepted.
     Heard {
-        /// The replica that takes the endpoint's next heartbeats best.
+        /// The replica to which the endpoint should send its next heartbeats.
         server: Option<SocketAddr>,
     },
-    /// The group is not ready for it yet; the caller may come again.
+    /// The group is not ready for the call yet; the caller may retry.
     NotReady,
-    /// The operator's document of the newest routing configuration; none before the first.
+    /// The operator's document of the newest routing configuration; `None` before the first one.
     Routing(Option<Arc<str>>),
 }
 
-/// What a replica tells one that has an empty data folder.
+/// The answer to [`ControlRequest::Probe`]: how far the replica is in founding the group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProbeReply {
-    /// The data folder is empty and no identity is written.
+    /// The data folder is empty and holds no identity.
     Empty,
-    /// A founding identity is written; nothing has been decided yet.
+    /// The identity of a founding member is written; nothing has been committed yet.
     Founding,
     /// The group exists.
     Established,
 }
 
-/// How the group looks from one replica.
+/// The status of the group as seen by one replica.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct GroupStatus {
-    /// The replica asked.
+    /// The replica that answers.
     pub id: NodeId,
     /// The current term.
     pub term: u64,
@@ -200,7 +202,7 @@
     pub commit: u64,
     /// The index up to which the state is applied.
     pub applied: u64,
-    /// The members, as name, identity, address and whether they vote.
+    /// The members, each with its name, id and address, and whether it votes.
     pub members: Vec<(Arc<str>, NodeId, SocketAddr, bool)>,
     /// The registered gateways.
     pub gateways: Vec<GatewayRecord>,
@@ -212,10 +214,10 @@
     pub ledger_keys: usize,
 }
 
-/// What became of submitted declarations.
+/// The result of submitted declarations.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ApplyReply {
-    /// True when every document is in force now or would be without `dry_run`.
+    /// True if every document is in force, or would be without `dry_run`.
     pub accepted: bool,
     /// The index at which the change was accepted.
     pub index: u64,
@@ -223,26 +225,26 @@
     pub verdicts: Vec<DocumentVerdict>,
 }
 
-/// What became of one declaration.
+/// The result of one submitted declaration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DocumentVerdict {
     /// The kind of document.
     pub kind: DocumentKind,
-    /// Its name.
+    /// The name of the document.
     pub name: Arc<str>,
-    /// The version submitted.
+    /// The submitted version.
     pub version: u64,
-    /// What became of it.
+    /// The result.
     pub verdict: Verdict,
 }
 
-/// The possible fates of a declaration.
+/// The possible results of submitting a declaration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// It is new.
+    /// The declaration is new.
     Created,
-    /// It replaces a lower version.
+    /// The declaration replaces a lower version.
     Updated,
     /// The same content with the same version was accepted before.
     Unchanged,
@@ -250,12 +252,13 @@
     Conflict {
         /// The version in force.
         stored_version: u64,
-        /// True when the versions are equal and the contents differ.
+        /// True if the versions are equal and the contents differ.
         same_version: bool,
     },
-    /// It does not fit its template, or breaks services made from it.
+    /// The declaration does not match its template, or is a template that services made from it
+    /// would no longer match.
     Invalid {
-        /// What is wrong.
+        /// The problems found.
         problems: Vec<String>,
     },
 }
@@ -263,8 +266,8 @@
 /// A message between replicas of control.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct PeerMessage {
-    /// Where the sender is reached; a replica that joins does not know its peers yet.
+    /// The address of the sender, since a replica that joins does not know its peers yet.
     pub address: SocketAddr,
-    /// The message itself.
+    /// The message.
     pub envelope: Envelope,
 }
--- a/src/message/crash.rs
+++ b/src/message/crash.rs
@@ -1,4 +1,5 @@
-//! Endpoints that ended under requests, and requests that may have ended them.
+//! Reports of endpoints that crashed while they ran requests, and the standings of requests that
+//! may have caused crashes.
 
 use std::sync::Arc;
 
@@ -6,65 +7,65 @@
 
 use super::{RequestKey, WeightsName};
 
-/// A request that was under way at an endpoint when that ended.
+/// A request that was in progress at an endpoint when the endpoint crashed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BrokenRun {
     /// The request.
     pub key: RequestKey,
-    /// The weights that it ran on.
+    /// The weights that the request used.
     pub weights: Option<WeightsName>,
-    /// For how long it had run, or had waited there if it had not begun.
+    /// The time for which it had run, or had waited at the endpoint if it had not started.
     pub ran_ms: u32,
-    /// How long before the endpoint's end the gateway had last served a request with the same
-    /// content; none if it has not lately.
+    /// The time between the last request with the same content that the gateway served and the
+    /// crash; `None` if the gateway served none recently.
     pub served_ago_ms: Option<u32>,
 }
 
-/// An endpoint's end, as one gateway saw it.
+/// The crash of an endpoint, as observed by one gateway.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointCrash {
-    /// The endpoint's incarnation.
+    /// The id of the endpoint's incarnation.
     pub endpoint: Arc<str>,
-    /// The service that it served.
+    /// The service that the endpoint served.
     pub service: Arc<str>,
-    /// How long ago it was seen.
+    /// The time since the gateway observed the crash.
     pub ago_ms: u32,
-    /// The gateway's requests that were broken off with it.
+    /// The gateway's requests that the crash interrupted.
     pub runs: Vec<BrokenRun>,
 }
 
-/// How requests with some content are treated.
+/// How gateways treat requests with the same content.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Standing {
-    /// Like all others; gateways tell when one of them is served.
+    /// Treated like all other requests, but gateways report when one of them is served.
     Watched,
-    /// Each try is sent to one endpoint only.
+    /// Each attempt is sent to one endpoint only.
     Suspected,
-    /// Endpoints end under them: they are refused for some time.
+    /// Refused for some time, since endpoints crash when they run these requests.
     Held {
-        /// For how long, from when this was decided.
+        /// The time for which they are refused, counted from the decision.
         for_ms: u64,
-        /// How many times they were held before.
+        /// The number of times that they were held before.
         times: u32,
     },
-    /// One gateway may send one of them; it is refused elsewhere.
+    /// One gateway may send one of these requests as a trial; all others are refused.
     OnTrial {
-        /// That gateway.
+        /// The gateway that may send the trial.
         gateway: Arc<str>,
-        /// How many times they were held before.
+        /// The number of times that they were held before.
         times: u32,
     },
-    /// Nothing is held against them any more.
+    /// No longer suspected of causing crashes.
     Cleared,
 }
 
 impl Standing {
-    /// True while such requests are refused, but for one that is tried.
+    /// True while such requests are refused, except for a trial.
     pub fn is_refused(&self) -> bool {
         matches!(self, Self::Held { .. } | Self::OnTrial { .. })
     }
 
-    /// How many times they were held before.
+    /// The number of times that such requests were held before.
     pub fn times_held(&self) -> u32 {
         match self {
             Self::Held { times, .. } | Self::OnTrial { times, .. } => *times,
@@ -73,13 +74,13 @@
     }
 }
 
-/// Requests with the same content, and how they are treated.
+/// The standing of requests with the same content.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestStanding {
-    /// Which requests.
+    /// The key of the requests.
     pub key: RequestKey,
-    /// The weights that they ask for.
+    /// The weights that the requests require.
     pub weights: Option<WeightsName>,
-    /// How they are treated.
+    /// The standing.
     pub standing: Standing,
 }
--- a/src/message/credit.rs
+++ b/src/message/credit.rs
@@ -1,19 +1,20 @@
-//! Credit of workspaces: what holders ask for, and what they are granted.
+//! Asks for and grants of credit, the units of a workspace's quota that a gateway or distributor
+//! holds in advance.
 
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// What a holder of credit has and wants, for one workspace.
+/// The credit that a holder (a gateway or distributor) has and requests for one workspace.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CreditAsk {
     /// The workspace.
     pub workspace: Arc<str>,
-    /// The units that it holds and that no request waits for.
+    /// The units that the holder has and no request waits for.
     pub held: u64,
-    /// The units that it would like to hold.
+    /// The units that the holder aims to have.
     pub target: u64,
-    /// The units that requests wait for and it does not hold; used up as soon as they come.
+    /// The units that requests wait for beyond those that the holder has; used as soon as granted.
     pub urgent: u64,
 }
 
@@ -22,10 +23,10 @@
 pub struct CreditGrant {
     /// The workspace.
     pub workspace: Arc<str>,
-    /// Units that it may use, beyond those that it held.
+    /// The granted units, in addition to those that the holder has.
     pub units: u64,
-    /// When what was urgent and is not granted may be had; 0 where all of it is granted.
+    /// The time until urgent units that are not granted may become available; 0 if all are granted.
     pub dry_ms: u32,
-    /// How long all that it holds may be used, from when it asked.
+    /// The time, counted from the ask, for which the holder may use all of its units.
     pub valid_ms: u32,
 }
--- a/src/message/forward.rs
+++ b/src/message/forward.rs
@@ -1,4 +1,4 @@
-//! Requests on their way to the owner of an endpoint, and what comes back.
+//! Requests that a gateway forwards to the owner of an endpoint, and the events of their answers.
 
 use std::sync::Arc;
 
@@ -6,22 +6,22 @@
 
 use crate::message::{AdapterKey, Priority, RunState, Summary};
 
-/// A request on its way to the owner of an endpoint.
+/// A request forwarded to the gateway that owns the endpoint.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ForwardRequest {
     /// The id of the caller's request.
     pub request_id: Arc<str>,
-    /// The endpoint chosen.
+    /// The selected endpoint.
     pub endpoint: Arc<str>,
-    /// The adapter and version that must answer; none for a plain service.
+    /// The required adapter and version; `None` for a service without an adapter.
     pub adapter: Option<AdapterKey>,
     /// The workspace of the service.
     pub workspace: Arc<str>,
     /// The priority.
     pub priority: Priority,
-    /// The time that is left for the whole answer.
+    /// The remaining time for the whole answer.
     pub remaining_ms: u32,
-    /// The call itself.
+    /// The call.
     pub call: Call,
 }
 
@@ -30,84 +30,84 @@
 pub struct Call {
     /// The HTTP method.
     pub method: Arc<str>,
-    /// Path and query.
+    /// The path and query.
     pub path: Arc<str>,
     /// The content type, if there is a body.
     pub content_type: Option<Arc<str>>,
-    /// The idempotency key, for endpoints that know it too.
+    /// The idempotency key, for endpoints that support it themselves.
     pub idempotency_key: Option<Arc<str>>,
-    /// True when the answer is to be streamed.
+    /// True if the answer is to be streamed.
     pub stream: bool,
     /// The body.
     pub body: Vec<u8>,
 }
 
-/// What comes back for a [`ForwardRequest`].
+/// A part of the answer to a [`ForwardRequest`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum ForwardEvent {
-    /// The request was not run here.
+    /// The owner refused the request; it was not run.
     Refused {
-        /// Why.
+        /// The reason.
         refusal: Refusal,
-        /// When to come back.
+        /// The time after which a retry is worthwhile.
         retry_after_ms: u32,
-        /// How the endpoint looks now.
+        /// The current state of the endpoint.
         summary: Option<Summary>,
     },
-    /// The answer begins.
+    /// The head of the answer.
     Head {
         /// The endpoint's HTTP status.
         status: u16,
         /// The content type.
         content_type: Arc<str>,
-        /// How long the request waited for its adapter to load.
+        /// The time that the request waited for its adapter to load.
         load_wait_ms: u32,
     },
-    /// A part of the answer.
+    /// A part of the body.
     Data(Vec<u8>),
-    /// The answer is whole.
+    /// The answer is complete.
     End {
-        /// How the endpoint looks now.
+        /// The current state of the endpoint.
         summary: Option<Summary>,
     },
-    /// The answer stops here.
+    /// The request failed, or its answer was cut off.
     Failed {
-        /// Whether the request ran.
+        /// Whether the request was run.
         run: RunState,
-        /// What happened.
+        /// The error text.
         detail: String,
     },
 }
 
-/// Why an owner did not run a request.
+/// The reason for which an owner did not run a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Refusal {
     /// This gateway does not own the endpoint.
     NotOwner,
-    /// The endpoint is leaving.
+    /// The endpoint is shutting down.
     Leaving,
     /// The endpoint does not answer.
     EndpointDown,
-    /// Too much waits there already.
+    /// The queue of the endpoint is full.
     QueueFull,
-    /// The workspace has more than its share of the queue.
+    /// The workspace uses more than its share of the queue.
     WorkspaceShare,
-    /// The answer could not come in time.
+    /// The request cannot be answered before its deadline.
     DeadlineUnmeetable,
-    /// The deadline passed while the request waited.
+    /// The deadline passed while the request was queued.
     DeadlinePassed,
     /// The adapter could not be loaded.
     LoadFailed,
     /// Too many loads wait for the weight store.
     LoadBacklog,
-    /// The engine refused the request before it started.
+    /// The engine refused the request before running it.
     EndpointRefused,
     /// The owner's lease cannot be confirmed.
     LeaseLost,
 }
 
 impl Refusal {
-    /// True when another endpoint may still take the request.
+    /// True if another endpoint may still accept the request.
     pub fn can_retry_elsewhere(self) -> bool {
         !matches!(self, Self::DeadlinePassed | Self::WorkspaceShare | Self::LoadBacklog)
     }
--- a/src/message/mod.rs
+++ b/src/message/mod.rs
@@ -1,7 +1,7 @@
-//! The values that travel between the system's processes.
+//! Types of the messages that gateways, distributors and replicas of control exchange.
 //!
-//! What concerns control stands in a file of its own, and so do requests on their way to an owner;
-//! all are found here.
+//! Each submodule defines the messages of one topic; this module re-exports them and defines the
+//! types that several topics share.
 
 mod control;
 mod crash;
@@ -34,7 +34,7 @@
     Forwarded, Group, LoadReport, SessionDown, SessionHello, SessionRole, SessionServer, SessionUp,
 };
 
-/// What is known about a request that got no answer.
+/// Whether a request that got no answer was run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunState {
     /// It was never started on an endpoint.
@@ -68,7 +68,7 @@
         Self { name: name.into(), version }
     }
 
-    /// Reads `name@version`.
+    /// Parses `name@version`.
     pub fn parse(text: &str) -> Option<Self> {
         let (name, version) = text.rsplit_once('@')?;
         if name.is_empty() {
@@ -90,20 +90,20 @@
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
-    /// Somebody waits for the answer.
+    /// A user waits for the answer.
     Interactive,
-    /// The usual case.
+    /// The default.
     #[default]
     Standard,
-    /// Work that may wait.
+    /// Background work that may be delayed.
     Batch,
 }
 
 impl Priority {
-    /// All priorities, the most urgent first.
+    /// All priorities, most urgent first.
     pub const ALL: [Self; 3] = [Self::Interactive, Self::Standard, Self::Batch];
 
-    /// Reads `interactive`, `standard` or `batch`.
+    /// Parses `interactive`, `standard` or `batch`.
     pub fn parse(text: &str) -> Option<Self> {
         match text {
             "interactive" => Some(Self::Interactive),
@@ -113,7 +113,7 @@
         }
     }
 
-    /// The name that [`parse`](Self::parse) reads.
+    /// The name that [`parse`](Self::parse) accepts.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Interactive => "interactive",
@@ -123,19 +123,19 @@
     }
 }
 
-/// Which calls of a service may never be repeated.
+/// The calls of a service that must not be repeated.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NotRepeatable {
     /// Every call may be repeated.
     None,
     /// No call may be repeated.
     All,
-    /// The calls listed as `METHOD /path` may not be; a path covers what is below it.
+    /// The calls listed as `METHOD /path` must not be repeated; a path includes all paths below it.
     Calls(Arc<[Arc<str>]>),
 }
 
 impl NotRepeatable {
-    /// True when a call with this method and path may not be repeated.
+    /// True if a call with this method and path must not be repeated.
     pub fn covers(&self, method: &str, path: &str) -> bool {
         let calls = match self {
             Self::None => return false,
@@ -156,49 +156,49 @@
     }
 }
 
-/// A service as the gateways use it, made from its template and parameters.
+/// A service as gateways use it, rendered from its template and parameters.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
     /// The unique name.
     pub name: Arc<str>,
-    /// The workspace that owns it.
+    /// The workspace that owns the service.
     pub workspace: Arc<str>,
     /// The pool of endpoints that serves it.
     pub pool: Arc<str>,
-    /// The adapter; none for a plain service.
+    /// The adapter; `None` for a service without one.
     pub adapter: Option<AdapterKey>,
     /// The priority of its requests.
     pub priority: Priority,
-    /// The longest time that a caller waits.
+    /// The maximum time that a caller waits.
     pub deadline_ms: u32,
-    /// The most tokens that one answer may have.
+    /// The maximum number of tokens in an answer.
     pub max_tokens: u32,
-    /// Which calls may never be repeated.
+    /// The calls that must not be repeated.
     pub not_repeatable: NotRepeatable,
 }
 
-/// What an owner tells about one endpoint.
+/// The state of an endpoint as reported by the gateway that owns it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
     /// The endpoint.
     pub endpoint: Arc<str>,
-    /// The epoch of the ownership under which this was seen.
+    /// The epoch of the ownership under which the state was observed.
     pub epoch: u64,
-    /// Rises with each summary of one epoch.
+    /// Increases with each summary within one epoch.
     pub sequence: u64,
-    /// False when the owner saw it fail.
+    /// False if the owner has seen the endpoint fail.
     pub healthy: bool,
-    /// Adapters that are loaded or loading; `None` when unchanged since the last summary.
+    /// Adapters that are loaded or loading; `None` if unchanged since the last summary.
     pub adapters: Option<Vec<AdapterKey>>,
-    /// Requests that run.
+    /// The number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// The number of queued requests.
     pub queued: u32,
-    /// Requests that can run at once.
+    /// The maximum number of concurrent requests.
     pub places: u32,
-    /// Adapters that can be loaded at once.
+    /// The maximum number of loaded adapters.
     pub slots: u32,
-    /// How often the least used idle adapter is asked for, per second; 0 when a slot is free and
-    /// infinite when every slot is busy.
+    /// Requests per second for the least used idle adapter, which is the next one to be evicted; 0
+    /// if a slot is free, infinite if every slot is in use.
     pub coldest_rate: f32,
 }
--- a/src/message/order.rs
+++ b/src/message/order.rs
@@ -1,4 +1,4 @@
-//! Orders to engines, and what becomes of them.
+//! Orders to engines to report, load or unload weights, and their outcomes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,93 +7,93 @@
 
 use super::{Weights, WeightsName};
 
-/// One order.
+/// An order to an engine, sent by the gateway that holds the endpoint.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct EngineOrder {
-    /// Counts this leader's orders.
+    /// The number of the order, which increases with each order of a leader.
     pub number: u64,
-    /// The endpoint's incarnation.
+    /// The id of the endpoint's incarnation.
     pub endpoint: Arc<str>,
-    /// The endpoint's name; one that goes by another name must refuse the order.
+    /// The name of the endpoint; an endpoint with another name must refuse the order.
     pub endpoint_name: Arc<str>,
-    /// Where it serves.
+    /// The address at which the endpoint serves requests.
     pub address: SocketAddr,
-    /// What is ordered.
+    /// The kind of order.
     pub kind: OrderKind,
-    /// The number of orders that the endpoint must have taken before this one.
+    /// The number of orders that the endpoint must have accepted before this one.
     pub expected_sequence: Option<u64>,
-    /// The gateway that gives the endpoint its orders.
+    /// The gateway that sends the endpoint its orders.
     pub holder: Arc<str>,
-    /// Rises with each holder.
+    /// The fencing token, which increases with each new holder.
     pub token: u64,
 }
 
 impl EngineOrder {
-    /// The outcome of an order that could not be passed to the gateway which should give it.
+    /// The result of an order that could not be passed to its holder.
     pub fn not_sent(self) -> OrderResult {
         let Self { number, endpoint, kind, .. } = self;
         OrderResult { number, endpoint, kind, outcome: OrderOutcome::NotSent }
     }
 }
 
-/// What is ordered.
+/// The kind of an order, with its parameters.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderKind {
-    /// Tell what you hold; changes nothing.
+    /// Reports the weights that the engine holds; changes nothing.
     Report,
-    /// Load weights, or replace an older version of them.
+    /// Loads weights, or replaces an older version of them.
     Load {
         /// The weights.
         name: WeightsName,
-        /// The version; the newest when none is named.
+        /// The version; `None` means the newest.
         version: Option<u64>,
     },
-    /// Drop weights.
+    /// Unloads weights.
     Unload {
         /// The weights.
         name: WeightsName,
     },
 }
 
-/// What an engine tells of itself.
+/// The state that an engine reports.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct EngineReport {
-    /// Orders taken since the start.
+    /// The number of orders that the engine has accepted since it started.
     pub sequence: u64,
-    /// What it holds.
+    /// The weights that are loaded.
     pub holds: Vec<Weights>,
-    /// What is on its way.
+    /// The weights that are being loaded.
     pub coming: Vec<Weights>,
 }
 
-/// What became of an order.
+/// The outcome of an order.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum OrderOutcome {
-    /// The report that was asked for.
+    /// The requested report.
     Report(EngineReport),
-    /// It is being carried out.
+    /// The order is in progress.
     UnderWay,
-    /// It is done, or was so before.
+    /// The order is completed, or was completed before.
     Done,
-    /// Another order is under way, or the expected sequence differs.
+    /// Another order is in progress, or the expected sequence differs.
     Conflict,
-    /// The endpoint refused it; it is not carried out.
+    /// The endpoint refused the order and does not execute it.
     Refused,
-    /// It was not sent.
+    /// The order was not sent.
     NotSent,
-    /// No answer came: it may be carried out, also much later.
+    /// No answer arrived; the endpoint may still execute the order, even much later.
     Unknown,
 }
 
-/// An order's outcome with what it belongs to.
+/// The outcome of an order, with the order and endpoint that it belongs to.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct OrderResult {
-    /// The order's number.
+    /// The number of the order.
     pub number: u64,
-    /// The endpoint.
+    /// The id of the endpoint's incarnation.
     pub endpoint: Arc<str>,
-    /// What was ordered.
+    /// The kind of order.
     pub kind: OrderKind,
-    /// What became of it.
+    /// The outcome.
     pub outcome: OrderOutcome,
 }
--- a/src/message/registration.rs
+++ b/src/message/registration.rs
@@ -1,4 +1,5 @@
-//! Endpoints that register themselves, and what the leader tells gateways about their adapters.
+//! Messages about endpoints that register themselves: registrations, heartbeats, loads, and the
+//! weights that the endpoints hold.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -11,17 +12,17 @@
 pub struct WeightsName {
     /// The base model.
     pub model: Arc<str>,
-    /// The adapter; none for the base model itself.
+    /// The adapter; `None` for the base model itself.
     pub adapter: Option<Arc<str>>,
 }
 
 impl WeightsName {
-    /// The adapter `adapter` of `model`.
+    /// `adapter` of `model`, or the base model if `adapter` is `None`.
     pub fn new(model: impl Into<Arc<str>>, adapter: Option<&str>) -> Self {
         Self { model: model.into(), adapter: adapter.map(Into::into) }
     }
 
-    /// The base model without an adapter.
+    /// The base model of these weights.
     #[must_use]
     pub fn base(&self) -> Self {
         Self { model: self.model.clone(), adapter: None }
@@ -40,119 +41,121 @@
 /// Weights at a version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Weights {
-    /// What they are of.
+    /// The base model or adapter.
     pub name: WeightsName,
-    /// Their version.
+    /// The version.
     pub version: u64,
 }
 
-/// One life of an endpoint, as it registers.
+/// The registration of one incarnation of an endpoint; each restart begins a new incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegisteredEndpoint {
-    /// The incarnation's own id; a restart brings another one.
+    /// The id of the incarnation; a restart changes it if the endpoint reports its start time.
     pub id: Arc<str>,
-    /// The name that the endpoint goes by; it may keep it when it restarts.
+    /// The name of the endpoint, which may be the same after a restart.
     pub name: Arc<str>,
-    /// When the incarnation started, as it says: Unix milliseconds, 0 where it does not say. Clocks
-    /// jump, so that it tells incarnations apart and orders them only as a hint.
+    /// The start time that the incarnation reports, in Unix milliseconds; 0 if it reports none.
+    /// It distinguishes incarnations, but is only a hint at their order, since clocks jump.
     pub born_ms: u64,
-    /// The service that it serves.
+    /// The service that the endpoint serves.
     pub service: Arc<str>,
-    /// Where it serves.
+    /// The address at which it serves requests.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: Arc<str>,
-    /// Requests that it runs at once.
+    /// The maximum number of concurrent requests.
     pub slots: u32,
-    /// True once it has announced that it leaves.
+    /// True once the endpoint has announced its shutdown.
     pub leaving: bool,
 }
 
 impl RegisteredEndpoint {
-    /// The id of the incarnation of `name` that was born at `born_ms`.
+    /// The id of the incarnation of `name` that started at `born_ms`.
     ///
-    /// Everything known of an endpoint is kept by this id, so that nothing of one incarnation is taken
-    /// for the next one's, which begins empty and counts anew under the same name.
+    /// All state of an endpoint is stored under this id, so that the state of one incarnation is
+    /// not mistaken for that of the next one, which starts without weights and with new counters
+    /// under the same name.
     pub fn incarnation_id(name: &str, born_ms: u64) -> Arc<str> {
         if born_ms == 0 { name.into() } else { format!("{name}@{born_ms}").into() }
     }
 
-    /// True when `other` goes by the same name and is another incarnation.
+    /// True if `other` is another incarnation of the same name.
     pub fn is_other_incarnation_of(&self, other: &Self) -> bool {
         self.name == other.name && self.id != other.id
     }
 }
 
-/// The end of an endpoint, as it tells it.
+/// The shutdown of an endpoint, as the endpoint announces it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointEnd {
     /// The endpoint's name.
     pub name: Arc<str>,
-    /// When the incarnation that ends started; the one that is registered where it does not say.
+    /// The start time of the incarnation that shuts down; `None` means the registered one.
     pub born_ms: Option<u64>,
 }
 
-/// What an endpoint tells again and again.
+/// The state that an endpoint reports periodically.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Who it is.
+    /// The registration of the endpoint.
     pub endpoint: RegisteredEndpoint,
-    /// Rises with each heartbeat of one incarnation.
+    /// Increases with each heartbeat of one incarnation.
     pub sequence: u64,
-    /// What it holds; none when the endpoint tells nothing of weights.
+    /// The weights that the endpoint holds; `None` if it does not report weights.
     pub holds: Option<Vec<Weights>>,
 }
 
-/// An adapter that requests ask for and that no endpoint known to the gateway holds, or too few.
+/// Weights that requests need and that no endpoint known to the gateway holds, or too few of them.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdapterNeed {
-    /// The service whose endpoints may hold it.
+    /// The service whose endpoints may hold the weights.
     pub service: Arc<str>,
-    /// The adapter, or the base model.
+    /// The adapter or base model.
     pub weights: WeightsName,
-    /// How many requests asked since the last time.
+    /// The number of requests for the weights since the gateway's last report.
     pub requests: u32,
-    /// True when the endpoints that hold it are full and one more is asked for.
+    /// True if the endpoints that hold the weights are full and one more is needed.
     pub more: bool,
 }
 
-/// What an endpoint holds, as the leader of control knows.
+/// The state of one model or adapter at an endpoint, as known to the leader of control.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Placed {
     /// The endpoint's id.
     pub endpoint: Arc<str>,
-    /// What it is about.
+    /// The base model or adapter.
     pub name: WeightsName,
-    /// What is known of them there.
+    /// Whether the endpoint holds the weights.
     pub holding: Holding,
 }
 
 /// Whether an endpoint holds weights.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Holding {
-    /// Requests may use them, at this version.
+    /// The weights are loaded in this version, and requests may use them.
     Ready(u64),
-    /// They are on their way.
+    /// The weights are being loaded.
     Coming,
-    /// It does not hold them any more.
+    /// The endpoint no longer holds the weights.
     Gone,
 }
 
-/// What gateways have under way at an endpoint.
+/// The load that gateways put on an endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests.
+    /// The number of requests in progress.
     pub running: u32,
-    /// How long the endpoint reads the prompts of those that are not answered yet.
+    /// The estimated time to read (prefill) the prompts of requests that are not answered yet; late
+    /// requests are counted in `late_ms` instead.
     pub waiting_ms: u32,
-    /// The same of those that are late already; engines read them last.
+    /// The same for requests that are late already, whose prompts engines read last.
     pub late_ms: u32,
     /// The demand in requests per minute; reported while the endpoint advertises a rate limit.
     pub demand_per_min: u32,
 }
 
 impl Load {
-    /// The sum of both.
+    /// Adds each figure of `other`; saturates instead of overflowing.
     #[must_use]
     pub fn saturating_add(self, other: Self) -> Self {
         Self {
@@ -163,7 +166,7 @@
         }
     }
 
-    /// What is left without `other`.
+    /// Subtracts each figure of `other`; the result is at least 0.
     #[must_use]
     pub fn saturating_sub(self, other: Self) -> Self {
         Self {
@@ -175,35 +178,35 @@
     }
 }
 
-/// What one gateway, or all others, have under way at one endpoint.
+/// The load of one gateway, or of all other gateways, on an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointLoad {
     /// The endpoint's id.
     pub endpoint: Arc<str>,
-    /// What is under way there.
+    /// The load.
     pub load: Load,
 }
 
-/// The use of weights at one endpoint through one gateway.
+/// The use of weights at an endpoint by the requests of one gateway.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightsUse {
     /// The endpoint's id.
     pub endpoint: Arc<str>,
     /// The weights.
     pub name: WeightsName,
-    /// Requests that were sent since the gateway's last report.
+    /// The number of requests sent since the gateway's last report.
     pub requests: u32,
-    /// How long the endpoint reads their prompts.
+    /// The estimated time to read (prefill) the prompts of these requests.
     pub reading_ms: u32,
-    /// Requests that are under way now.
+    /// The number of requests in progress now.
     pub under_way: u32,
 }
 
-/// A version of weights that was named as the newest.
+/// The newest version of weights, as announced to control.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NewestVersion {
     /// The weights.
     pub name: WeightsName,
-    /// Their newest version.
+    /// The newest version.
     pub version: u64,
 }
--- a/src/message/request_key.rs
+++ b/src/message/request_key.rs
@@ -1,4 +1,5 @@
-//! What makes two tries of a client the same request.
+//! Keys that identify the content of requests: attempts with the same content have the same key at
+//! any gateway.
 
 use std::fmt;
 
@@ -7,28 +8,28 @@
 
 use super::WeightsName;
 
-/// What an endpoint runs for a request.
+/// The parts of a request that determine what an endpoint runs.
 ///
-/// Neither the client nor any other header is part of it: ids, deadlines and what proxies add differ
-/// from one try to the next, and content that ends one endpoint does so whoever sends it.
+/// The client and all headers except the host are left out: ids, deadlines and headers that proxies
+/// add differ between attempts, and content that crashes an endpoint does so for any client.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestContent<'a> {
-    /// The method.
+    /// The HTTP method.
     pub method: &'a str,
-    /// The host that the client names.
+    /// The host that the client requested.
     pub host: &'a str,
-    /// The path with its query.
+    /// The path and query.
     pub target: &'a str,
-    /// The weights that have to answer it.
+    /// The weights that the request requires.
     pub weights: Option<&'a WeightsName>,
-    /// The body, however it was cut on its way here.
+    /// The whole body, independent of how it was split into chunks.
     pub body: &'a [u8],
 }
 
-/// Names a request's content, the same for each try at any gateway.
+/// Identifies the content of a request; the same for each attempt at any gateway.
 ///
-/// A digest that nobody can aim: a client must not be able to have another one's request taken for
-/// its own.
+/// The key is a truncated SHA-256 digest: with a weaker hash, a client could craft a request that
+/// has the key of another client's request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestKey([u8; 16]);
 
--- a/src/message/session.rs
+++ b/src/message/session.rs
@@ -1,4 +1,4 @@
-//! What gateways, distributors and the leader of control say on sessions.
+//! Messages on the sessions of gateways and distributors with the leader of control.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -13,81 +13,81 @@
     OrderResult, Placed, RequestKey, Summary, WeightsUse,
 };
 
-/// How many requests the platform saw running at an endpoint, some time ago.
+/// The number of running requests at an endpoint that the platform measured some time ago.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// The endpoint.
     pub endpoint: Arc<str>,
-    /// The requests, those of this system among them.
+    /// The number of requests, including those of this system.
     pub running: u32,
 }
 
-/// What a gateway sends on its session with the leader.
+/// A message from a gateway or distributor to the server of its session.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum SessionUp {
     /// The first message.
     Hello(SessionHello),
     /// Renews the lease and asks which changes have been accepted.
     Renew {
-        /// The gateway's own clock when it sent this; the lease counts from here.
+        /// The send time on the gateway's clock, from which the lease counts.
         sent_at_ms: u64,
-        /// Endpoints whose summary changed.
+        /// The summaries that changed.
         summaries: Vec<Summary>,
     },
-    /// Takes the gateway out of the set that may own endpoints.
+    /// Removes the gateway from the set that may own endpoints.
     Leave,
-    /// Gives an endpoint up to its successor.
+    /// Hands over an endpoint to its next owner.
     Release {
         /// The endpoint.
         endpoint: Arc<str>,
         /// The epoch under which it was owned.
         epoch: u64,
     },
-    /// Adapters that no endpoint known to the gateway holds, or too few.
+    /// Adapters that no endpoint known to the gateway holds, or too few of them.
     Needs(Vec<AdapterNeed>),
-    /// What became of an order.
+    /// The outcome of an order.
     Ordered(OrderResult),
-    /// What went through the gateway since its last report.
+    /// The traffic of the gateway since its last report.
     Traffic {
-        /// What is under way, for each endpoint where it changed.
+        /// The load on each endpoint where it changed.
         loads: Vec<EndpointLoad>,
-        /// Weights that were used.
+        /// The weights that were used.
         used: Vec<WeightsUse>,
-        /// Endpoints that could not be reached again and again.
+        /// Endpoints that were repeatedly unreachable.
         failing: Vec<Arc<str>>,
     },
     /// A distributor's renewal on behalf of gateways.
     RenewFor {
-        /// The distributor's own number for it, given back in the answer.
+        /// Assigned by the distributor and returned in the answer.
         number: u64,
-        /// Gateways whose renewals came before this was sent.
+        /// Gateways whose renewals the distributor received before it sent this one.
         gateways: Vec<Arc<str>>,
     },
-    /// What gateways told their distributor.
+    /// Messages of gateways, relayed by their distributor.
     Forwarded(Vec<Forwarded>),
-    /// Heartbeats that a distributor took in.
+    /// Heartbeats that a distributor received.
     Heartbeats(Vec<Heartbeat>),
-    /// Endpoints that ended under requests; told again to each leader.
+    /// Endpoints that crashed while they ran requests; reported again to each new leader.
     Crashes(Vec<EndpointCrash>),
-    /// A request that is watched, or held, was served after all.
+    /// A request that is watched or held was served.
     Served(RequestKey),
-    /// Asks whether a request that was held may be sent once.
+    /// Asks for permission to send a held request once, as a trial.
     AskForTrial(RequestKey),
-    /// Asks for credit of workspaces; answered by as many grants, in one message or more.
+    /// Asks for credit of workspaces; answered by one grant per ask, in one or more messages.
     CreditAsks(Vec<CreditAsk>),
-    /// Returns a trial that had no outcome.
+    /// Returns the permission for a trial that ended without an outcome.
     TrialReturned(RequestKey),
-    /// A request that is watched was served some time before that.
+    /// A watched request was served before the gateway learned that it is watched.
     ServedBefore {
         /// The request.
         key: RequestKey,
-        /// How long ago.
+        /// The time since the request was served.
         ago_ms: u32,
     },
 }
 
 impl SessionUp {
-    /// Its kind, as the figures name it.
+    /// The message kind, as named in statistics.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Hello(_) => "session_hello",
@@ -110,104 +110,106 @@
     }
 }
 
-/// Who a gateway is and up to where it has followed the changes.
+/// The identity of a gateway or distributor, and the last change that it has applied.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct SessionHello {
-    /// The gateway's name.
+    /// Its name.
     pub name: Arc<str>,
-    /// A number drawn at each start.
+    /// A random number generated at each start.
     pub boot_id: u64,
     /// The availability zone.
     pub zone: Arc<str>,
-    /// Where other gateways reach it.
+    /// The address at which other processes reach it.
     pub address: SocketAddr,
-    /// The index of the last change that it holds; 0 for none.
+    /// The index of the last change that it has applied; 0 for none.
     pub applied_index: u64,
-    /// What the session is for.
+    /// The purpose of the session.
     pub role: SessionRole,
-    /// True when the replica that serves its zone fails it, so that any other one will do.
+    /// True if the replica that serves the zone has failed for this gateway, which then accepts any
+    /// other replica.
     pub zone_server_failed: bool,
 }
 
-/// What a session with control is for.
+/// The purpose of a session with control.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SessionRole {
-    /// A gateway that may own endpoints; it is entered in the log.
+    /// A gateway that may own endpoints; its registration is replicated through the log.
     Owner,
-    /// A gateway that only follows.
+    /// A gateway that only receives changes and reports traffic.
     Follower,
-    /// A replica that passes everything on to the gateways of its availability zone.
+    /// A replica that relays messages to and from the gateways of its availability zone.
     Distributor,
 }
 
-/// What a gateway told its distributor.
+/// A message of a gateway, relayed by its distributor.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Forwarded {
     /// The gateway.
     pub gateway: Arc<str>,
-    /// What it told.
-    #[serde(deserialize_with = "read_told")]
+    /// The message.
+    #[serde(deserialize_with = "deserialize_relayed")]
     pub up: SessionUp,
 }
 
 thread_local! {
-    /// True while something forwarded is read.
+    /// True while a [`Forwarded`] message is being deserialized.
     static IN_FORWARDED: Cell<bool> = const { Cell::new(false) };
 }
 
-/// Reads what a gateway told, in which nothing is forwarded again: the depth of a message would
-/// otherwise be the sender's to choose, and with it the reader's stack.
-fn read_told<'de, D: Deserializer<'de>>(deserializer: D) -> Result<SessionUp, D::Error> {
+/// Deserializes the message of a gateway and rejects a nested [`Forwarded`] message: otherwise the
+/// sender could choose the nesting depth and overflow the receiver's stack.
+fn deserialize_relayed<'de, D: Deserializer<'de>>(deserializer: D) -> Result<SessionUp, D::Error> {
     if IN_FORWARDED.replace(true) {
         return Err(D::Error::custom("gateways forward nothing"));
     }
-    let told = SessionUp::deserialize(deserializer);
+    let message = SessionUp::deserialize(deserializer);
     IN_FORWARDED.set(false);
-    told
+    message
 }
 
-/// The replicas of control and the gateways that follow it.
+/// The replicas of control and the number of gateways that are connected to it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Group {
-    /// Where the replicas serve gateways.
+    /// The addresses at which the replicas serve gateways.
     pub replicas: Vec<SocketAddr>,
-    /// Gateways that follow, in all availability zones.
+    /// The number of connected gateways in all availability zones.
     pub gateways: u32,
-    /// How often counts of what is under way are told on this session, in both directions.
+    /// The period at which endpoint loads are reported on this session, in both directions.
     pub counts_every_ms: u32,
     /// The leader and the distributors.
     pub servers: Vec<SessionServer>,
 }
 
-/// The share of all gateways by which their number must change to be told anew: it only shares out
-/// budgets, and gateways come and go all the time.
-const GATEWAYS_STEP: u32 = 16;
+/// A new number of gateways is sent once it differs from the one sent before by the latter divided
+/// by this divisor: the number is used only to divide budgets, and gateways connect and disconnect
+/// all the time.
+const GATEWAY_CHANGE_DIVISOR: u32 = 16;
 
 impl Group {
-    /// True when those who were `told` another group should know.
-    pub fn has_significant_change_from(&self, told: &Self) -> bool {
-        let same_but_gateways = Self { gateways: told.gateways, ..self.clone() };
-        let step = (told.gateways / GATEWAYS_STEP).max(1);
-        same_but_gateways != *told || self.gateways.abs_diff(told.gateways) >= step
+    /// True if this group should be sent to gateways that last received `sent`.
+    pub fn has_significant_change_from(&self, sent: &Self) -> bool {
+        let same_but_gateways = Self { gateways: sent.gateways, ..self.clone() };
+        let step = (sent.gateways / GATEWAY_CHANGE_DIVISOR).max(1);
+        same_but_gateways != *sent || self.gateways.abs_diff(sent.gateways) >= step
     }
 
-    /// Where gateways and endpoints of `zone` are served best, if anywhere near.
+    /// The address of the replica that serves the gateways and endpoints of `zone`, if any.
     pub fn server_of(&self, zone: &str) -> Option<SocketAddr> {
         let server = self.servers.iter().find(|server| &*server.zone == zone)?;
         Some(server.address)
     }
 }
 
-/// Where gateways of an availability zone are served best.
+/// The replica that serves the gateways of an availability zone.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionServer {
     /// The availability zone.
     pub zone: Arc<str>,
-    /// Where the replica serves gateways.
+    /// The address at which the replica serves gateways.
     pub address: SocketAddr,
 }
 
-/// What the leader sends on a session.
+/// A message from the leader or a distributor on a session.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum SessionDown {
     /// The gateway is registered under this epoch.
@@ -217,58 +219,60 @@
     },
     /// Accepted changes, in order.
     Changes {
-        /// The index up to which the gateway is now complete.
+        /// The index up to which the gateway has received all changes.
         index: u64,
-        /// True when everything known before is to be dropped first.
+        /// True if the receiver has to discard its state before it applies the changes.
         reset: bool,
-        /// False when more of the same set follows.
+        /// False if more messages with changes of the same set follow.
         complete: bool,
         /// The changes.
         changes: Vec<Change>,
     },
-    /// Confirms a renewal after a majority round that began later than it was sent.
+    /// Confirms a renewal after a majority of replicas has confirmed the leader in a round that
+    /// began after the renewal was sent.
     Renewed {
-        /// The value of the renewal.
+        /// The `sent_at_ms` of the renewal.
         sent_at_ms: u64,
         /// Every change accepted before the renewal has this index or a lower one.
         index: u64,
-        /// Summaries of other gateways' endpoints that changed.
+        /// Changed summaries of endpoints that other gateways own.
         summaries: Vec<Summary>,
-        /// Reports on the gateway's own endpoints that changed.
+        /// Changed reports on the endpoints that this gateway owns.
         load_reports: Vec<LoadReport>,
     },
-    /// This replica does not lead, or no longer.
+    /// This replica is not the leader, or no longer.
     NotLeader {
-        /// Where the leader may be.
+        /// The address of the leader, if this replica knows it; it may be outdated.
         leader: Option<SocketAddr>,
     },
-    /// The gateway's lease has run out; it has to start a new session under a new epoch.
+    /// The gateway's lease has expired; the gateway has to start a new session under a new epoch.
     Expired,
-    /// What endpoints hold, where it changed.
+    /// The weights that endpoints hold, where they changed.
     Placed {
-        /// True when all that is known follows and everything else is to be dropped.
+        /// True if `placed` is the whole state and replaces all earlier state.
         reset: bool,
         /// The changes.
         placed: Vec<Placed>,
     },
-    /// Requests under way at all gateways, for each endpoint where their number changed.
+    /// The load of all other gateways together on each endpoint where it changed.
     Loads(Vec<EndpointLoad>),
-    /// An order that the gateway has to give to an engine.
+    /// An order that the gateway has to send to an engine.
     Order(EngineOrder),
-    /// The replicas of control and the gateways that follow it.
+    /// The replicas of control and the number of gateways that are connected to it.
     Group(Group),
-    /// The answer to a distributor's renewal, after a majority round that began later than it was
-    /// sent; every change accepted before it has been told on this session.
+    /// Confirms a distributor's renewal after a majority of replicas has confirmed the leader in a
+    /// round that began after the renewal was sent; every change accepted before the renewal has
+    /// been sent on this session.
     RenewedFor {
         /// The number of the renewal.
         number: u64,
     },
-    /// Credit of workspaces, as it was asked for.
+    /// Grants of credit in answer to asks.
     Credit(Vec<CreditGrant>),
 }
 
 impl SessionDown {
-    /// Its kind, as the figures name it.
+    /// The message kind, as named in statistics.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Welcome { .. } => "session_welcome",
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,4 +1,4 @@
-//! Streams between the system's processes: `h2` carrying length-prefixed `bincode` messages.
+//! Streams of length-prefixed `bincode` messages between processes of the system, over HTTP/2.
 
 use std::collections::HashMap;
 use std::future::poll_fn;
@@ -25,7 +25,7 @@
 use crate::error::{Error, Result};
 use crate::metrics::{Counter, Metrics};
 
-/// The version of the messages; processes with another one refuse each other.
+/// The version of the message format; a process refuses streams of any other version.
 pub const WIRE_VERSION: &str = "1";
 
 const VERSION_HEADER: &str = "winchvane-wire";
@@ -42,8 +42,8 @@
 static SENT_MESSAGES: AtomicU64 = AtomicU64::new(0);
 static RECEIVED_MESSAGES: AtomicU64 = AtomicU64::new(0);
 
-/// What this process has exchanged with others of the system: messages and their bytes, without
-/// what `h2`, TCP and IP put around them.
+/// The number and bytes of messages that this process has exchanged with its peers, without the
+/// overhead of HTTP/2, TCP and IP.
 pub fn traffic() -> serde_json::Value {
     serde_json::json!({
         "sent_messages": SENT_MESSAGES.load(Ordering::Relaxed),
@@ -53,19 +53,19 @@
     })
 }
 
-/// A future that is boxed so that it can cross a trait object.
+/// A boxed future, as returned by methods of trait objects.
 pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
-/// What a stream is for.
+/// The purpose of a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Channel {
     /// Messages between replicas of control.
     Raft,
-    /// A gateway's session with the leader.
+    /// A session of a gateway or distributor with control.
     Session,
-    /// Single calls to control.
+    /// A single call to control.
     Control,
-    /// Requests to the owner of an endpoint.
+    /// A request to the owner of an endpoint.
     Forward,
 }
 
@@ -98,10 +98,10 @@
         Self { stream, peer, message: PhantomData }
     }
 
-    /// Sends one message, waiting while the receiver's window is full; returns its bytes.
+    /// Sends one message, waiting for flow-control capacity, and returns its size in bytes.
     ///
     /// # Errors
-    /// The stream or connection was closed by the peer.
+    /// The message cannot be encoded, or the stream or connection is closed.
     pub async fn send(&mut self, message: &T) -> Result<usize> {
         let mut data = encode(message)?;
         let size_bytes = data.len();
@@ -113,78 +113,79 @@
             if capacity == 0 {
                 capacity = match poll_fn(|context| self.stream.poll_capacity(context)).await {
                     Some(Ok(capacity)) => capacity,
-                    Some(Err(error)) => return Err(self.fail(error)),
-                    None => return Err(self.fail("the stream is closed")),
+                    Some(Err(error)) => return Err(self.send_error(error)),
+                    None => return Err(self.send_error("the stream is closed")),
                 };
             }
             let chunk = data.split_to(capacity.min(data.len()));
-            self.stream.send_data(chunk, false).map_err(|error| self.fail(error))?;
+            self.stream.send_data(chunk, false).map_err(|error| self.send_error(error))?;
         }
         Ok(size_bytes)
     }
 
     /// Ends the stream.
     pub fn finish(mut self) {
-        // The peer may have reset the stream already; then there is nothing left to end.
+        // Fails if the peer has reset the stream already, which ends it too.
         let _ = self.stream.send_data(Bytes::new(), true);
     }
 
-    /// Returns once the peer has given the stream up.
+    /// Waits until the peer resets the stream or the connection fails.
     pub async fn closed(&mut self) {
         let _ = poll_fn(|context| self.stream.poll_reset(context)).await;
     }
 
-    fn fail(&self, error: impl ToString) -> Error {
+    fn send_error(&self, error: impl ToString) -> Error {
         Error::failed("send", self.peer.clone(), error)
     }
 }
 
 /// The receiving half of a stream.
 pub struct Receiver<T> {
-    source: Source,
+    body: Body,
     buffer: BytesMut,
     peer: Arc<str>,
     message: PhantomData<fn() -> T>,
 }
 
-enum Source {
-    Waiting(ResponseFuture),
+enum Body {
+    Pending(ResponseFuture),
     Open(RecvStream),
 }
 
 impl<T: DeserializeOwned> Receiver<T> {
-    fn new(source: Source, peer: Arc<str>) -> Self {
-        Self { source, buffer: BytesMut::new(), peer, message: PhantomData }
+    fn new(body: Body, peer: Arc<str>) -> Self {
+        Self { body, buffer: BytesMut::new(), peer, message: PhantomData }
     }
 
-    /// The next message; none once the peer has ended the stream.
+    /// Receives the next message; `None` once the peer has ended the stream.
     ///
     /// # Errors
-    /// A stream that was reset or cut, an answer of another wire version, or bytes that are not a
-    /// message.
+    /// The stream was reset or ended within a message, the peer has another wire version, or the
+    /// bytes are not a valid message.
     pub async fn next(&mut self) -> Result<Option<T>> {
         loop {
-            if let Some(message) = self.take_buffered()? {
+            if let Some(message) = self.decode_buffered()? {
                 return Ok(Some(message));
             }
-            let stream = self.open().await?;
+            let stream = self.open_body().await?;
             let Some(chunk) = stream.data().await else {
                 if self.buffer.is_empty() {
                     return Ok(None);
                 }
-                return Err(self.fail("the stream ends within a message"));
+                return Err(self.receive_error("the stream ends within a message"));
             };
-            let chunk = chunk.map_err(|error| self.fail(error))?;
+            let chunk = chunk.map_err(|error| self.receive_error(error))?;
             let size = chunk.len();
             self.buffer.extend_from_slice(&chunk);
-            if let Source::Open(stream) = &mut self.source {
+            if let Body::Open(stream) = &mut self.body {
                 let _ = stream.flow_control().release_capacity(size);
             }
         }
     }
 
-    async fn open(&mut self) -> Result<&mut RecvStream> {
-        if let Source::Waiting(response) = &mut self.source {
+    /// The body of the stream; waits for the peer's response first if it has not arrived yet.
+    async fn open_body(&mut self) -> Result<&mut RecvStream> {
+        if let Body::Pending(response) = &mut self.body {
             let response = response
                 .await
                 .map_err(|error| Error::failed("open stream", self.peer.clone(), error))?;
@@ -192,19 +193,20 @@
                 let detail = format!("the peer answered {}", response.status());
                 return Err(Error::refused("open stream", self.peer.clone(), detail));
             }
-            self.source = Source::Open(response.into_body());
+            self.body = Body::Open(response.into_body());
         }
-        match &mut self.source {
-            Source::Open(stream) => Ok(stream),
-            Source::Waiting(_) => unreachable!("the response was taken above"),
+        match &mut self.body {
+            Body::Open(stream) => Ok(stream),
+            Body::Pending(_) => unreachable!("the response was taken above"),
         }
     }
 
-    fn take_buffered(&mut self) -> Result<Option<T>> {
+    /// Decodes and removes the first buffered message; `None` while it is incomplete.
+    fn decode_buffered(&mut self) -> Result<Option<T>> {
         let Some(header) = self.buffer.get(..LENGTH_BYTES) else { return Ok(None) };
         let length = u32::from_le_bytes([header[0], header[1], header[2], header[3]]) as usize;
         if length > MAX_MESSAGE_BYTES {
-            return Err(self.fail(format!("a message of {length} bytes is too long")));
+            return Err(self.receive_error(format!("a message of {length} bytes is too long")));
         }
         if self.buffer.len() < LENGTH_BYTES + length {
             return Ok(None);
@@ -213,10 +215,10 @@
         let body = self.buffer.split_to(length);
         RECEIVED_MESSAGES.fetch_add(1, Ordering::Relaxed);
         RECEIVED_BYTES.fetch_add((LENGTH_BYTES + length) as u64, Ordering::Relaxed);
-        binary::decode(&body).map(Some).map_err(|error| self.fail(error))
+        binary::decode(&body).map(Some).map_err(|error| self.receive_error(error))
     }
 
-    fn fail(&self, error: impl ToString) -> Error {
+    fn receive_error(&self, error: impl ToString) -> Error {
         Error::failed("receive", self.peer.clone(), error)
     }
 }
@@ -230,7 +232,7 @@
     Ok(bytes.into())
 }
 
-/// A process that can be reached, with the connection kept open between uses.
+/// Another process of the system, with a connection that is kept open between uses.
 pub struct Peer {
     address: SocketAddr,
     name: Arc<str>,
@@ -238,20 +240,20 @@
 }
 
 impl Peer {
-    /// The process at `address`; nothing is connected yet.
+    /// Creates the peer at `address` without connecting to it.
     pub fn new(address: SocketAddr) -> Self {
         Self { address, name: address.to_string().into(), connection: Mutex::new(None) }
     }
 
-    /// Opens a stream.
+    /// Opens a stream, connecting first if necessary.
     ///
     /// # Errors
-    /// No connection could be made; nothing was sent then.
+    /// The connection failed or cannot take another stream; nothing was sent.
     pub async fn open<Up: Serialize, Down: DeserializeOwned>(
         &self,
         channel: Channel,
     ) -> Result<(Sender<Up>, Receiver<Down>)> {
-        let mut sender = self.ready().await?;
+        let mut sender = self.ready_connection().await?;
         let request = Request::builder()
             .method(Method::POST)
             .uri(format!("http://{}{}", self.address, channel.path()))
@@ -262,13 +264,13 @@
             .send_request(request, false)
             .map_err(|error| Error::refused("open stream", self.name.clone(), error))?;
         let sender = Sender::new(stream, self.name.clone());
-        Ok((sender, Receiver::new(Source::Waiting(response), self.name.clone())))
+        Ok((sender, Receiver::new(Body::Pending(response), self.name.clone())))
     }
 
     /// Sends one message and waits for the answer.
     ///
     /// # Errors
-    /// No connection, no answer within `timeout_ms`, or a broken one.
+    /// The connection failed, no answer arrived within `timeout_ms`, or the answer is not valid.
     pub async fn call<Up: Serialize, Down: DeserializeOwned>(
         &self,
         channel: Channel,
@@ -291,12 +293,14 @@
         result
     }
 
-    /// Drops the connection: the next use makes a new one, in case this one is cut without a sign.
+    /// Drops the connection, which may be broken without a reported error; the next use opens a
+    /// new one.
     pub async fn drop_connection(&self) {
         *self.connection.lock().await = None;
     }
 
-    async fn ready(&self) -> Result<SendRequest<Bytes>> {
+    /// The open connection once it can take another stream, or a new one.
+    async fn ready_connection(&self) -> Result<SendRequest<Bytes>> {
         let mut slot = self.connection.lock().await;
         if let Some(sender) = slot.take()
             && let Ok(sender) = sender.ready().await
@@ -335,17 +339,17 @@
     }
 }
 
-/// The processes that this one talks to, by address.
+/// The peers of this process, by address.
 #[derive(Default)]
 pub struct Peers(std::sync::Mutex<HashMap<SocketAddr, Arc<Peer>>>);
 
 impl Peers {
-    /// No peers yet.
+    /// An empty set of peers.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The peer at `address`.
+    /// The peer at `address`, created on first use.
     pub fn get(&self, address: SocketAddr) -> Arc<Peer> {
         let mut peers = self.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         peers.entry(address).or_insert_with(|| Arc::new(Peer::new(address))).clone()
@@ -354,7 +358,7 @@
 
 /// A stream that a peer has opened.
 pub struct Incoming {
-    /// What it is for.
+    /// The purpose of the stream.
     pub channel: Channel,
     peer: Arc<str>,
     body: RecvStream,
@@ -365,7 +369,7 @@
     /// Accepts the stream.
     ///
     /// # Errors
-    /// The peer has given the stream up.
+    /// The peer has reset the stream, or the connection failed.
     pub fn accept<Up: DeserializeOwned, Down: Serialize>(
         mut self,
     ) -> Result<(Receiver<Up>, Sender<Down>)> {
@@ -373,18 +377,18 @@
             .respond
             .send_response(Response::new(()), false)
             .map_err(|error| Error::failed("accept stream", self.peer.clone(), error))?;
-        let receiver = Receiver::new(Source::Open(self.body), self.peer.clone());
+        let receiver = Receiver::new(Body::Open(self.body), self.peer.clone());
         Ok((receiver, Sender::new(stream, self.peer)))
     }
 }
 
-/// What a process does with the streams that its peers open.
+/// Handles the streams that peers open.
 pub trait Handler: Send + Sync + 'static {
-    /// Serves one stream to its end.
+    /// Serves one stream until it ends.
     fn handle(&self, incoming: Incoming) -> BoxFuture<'static, Result<()>>;
 }
 
-/// Accepts connections of peers until the task is dropped.
+/// Accepts connections of peers until the future is dropped.
 pub async fn serve(listener: TcpListener, handler: Arc<dyn Handler>, metrics: Metrics) {
     loop {
         match listener.accept().await {
@@ -435,7 +439,7 @@
                 return;
             }
         };
-        let Some(incoming) = admit(request, respond, &peer, &metrics) else { continue };
+        let Some(incoming) = check_stream(request, respond, &peer, &metrics) else { continue };
         let future = handler.handle(incoming);
         let peer = peer.clone();
         tokio::spawn(async move {
@@ -446,7 +450,8 @@
     }
 }
 
-fn admit(
+/// Refuses a stream of another wire version or with an unknown path.
+fn check_stream(
     request: Request<RecvStream>,
     mut respond: h2::server::SendResponse<Bytes>,
     peer: &Arc<str>,
--- a/tests/fuzz_wire.rs
+++ b/tests/fuzz_wire.rs
@@ -1,5 +1,5 @@
-//! Messages between the system's processes with arbitrary bytes and with changed ones: a stream that
-//! carries them breaks with an error.
+//! Fuzz tests of streams between processes: valid messages arrive unchanged, and arbitrary or
+//! corrupted bytes fail only their stream, with an error.
 
 #[path = "common/fuzz.rs"]
 mod fuzz;
@@ -23,8 +23,8 @@
     SessionUp, Summary, Weights, WeightsName, WeightsUse,
 };
 
-/// Any value; unlike [`any`], of the type that its user wants.
-fn drawn<T: Arbitrary>() -> impl Strategy<Value = T> {
+/// Arbitrary values of an inferred type.
+fn arbitrary<T: Arbitrary>() -> impl Strategy<Value = T> {
     any::<T>()
 }
 
@@ -41,27 +41,37 @@
     vec((weights_name(), any::<u64>()).prop_map(|(name, version)| Weights { name, version }), 0..4)
 }
 
-fn registered() -> impl Strategy<Value = RegisteredEndpoint> {
+fn registered_endpoint() -> impl Strategy<Value = RegisteredEndpoint> {
     let names = (name(), name(), name());
-    (names, drawn(), drawn(), drawn()).prop_map(|((id, service, zone), address, slots, leaving)| {
-        let name: Arc<str> = id;
-        let born_ms = u64::from(slots);
-        let id = RegisteredEndpoint::incarnation_id(&name, born_ms);
-        RegisteredEndpoint { id, name, born_ms, service, address, zone, slots, leaving }
-    })
+    (names, arbitrary(), arbitrary(), arbitrary()).prop_map(
+        |((id, service, zone), address, slots, leaving)| {
+            let name: Arc<str> = id;
+            let born_ms = u64::from(slots);
+            let id = RegisteredEndpoint::incarnation_id(&name, born_ms);
+            RegisteredEndpoint { id, name, born_ms, service, address, zone, slots, leaving }
+        },
+    )
 }
 
 fn heartbeat() -> impl Strategy<Value = Heartbeat> {
-    (registered(), drawn(), proptest::option::of(weights()))
+    (registered_endpoint(), arbitrary(), proptest::option::of(weights()))
         .prop_map(|(endpoint, sequence, holds)| Heartbeat { endpoint, sequence, holds })
 }
 
 fn summary() -> impl Strategy<Value = Summary> {
     let adapters =
-        vec((name(), drawn()).prop_map(|(name, version)| AdapterKey { name, version }), 0..3);
+        vec((name(), arbitrary()).prop_map(|(name, version)| AdapterKey { name, version }), 0..3);
     let counts = any::<(u32, u32, u32, u32)>();
-    (name(), drawn(), drawn(), drawn(), proptest::option::of(adapters), counts, drawn()).prop_map(
-        |(endpoint, epoch, sequence, healthy, adapters, counts, coldest_rate)| {
+    (
+        name(),
+        arbitrary(),
+        arbitrary(),
+        arbitrary(),
+        proptest::option::of(adapters),
+        counts,
+        arbitrary(),
+    )
+        .prop_map(|(endpoint, epoch, sequence, healthy, adapters, counts, coldest_rate)| {
             let (running, queued, places, slots) = counts;
             Summary {
                 endpoint,
@@ -75,12 +85,11 @@
                 slots,
                 coldest_rate,
             }
-        },
-    )
+        })
 }
 
-fn load() -> impl Strategy<Value = EndpointLoad> {
-    (name(), drawn(), drawn(), drawn(), drawn()).prop_map(
+fn endpoint_load() -> impl Strategy<Value = EndpointLoad> {
+    (name(), arbitrary(), arbitrary(), arbitrary(), arbitrary()).prop_map(
         |(endpoint, running, waiting_ms, late_ms, demand_per_min)| EndpointLoad {
             endpoint,
             load: Load { running, waiting_ms, late_ms, demand_per_min },
@@ -88,29 +97,26 @@
     )
 }
 
-fn kind() -> impl Strategy<Value = OrderKind> {
+fn order_kind() -> impl Strategy<Value = OrderKind> {
     prop_oneof![
         Just(OrderKind::Report),
-        (weights_name(), drawn()).prop_map(|(name, version)| OrderKind::Load { name, version }),
+        (weights_name(), arbitrary()).prop_map(|(name, version)| OrderKind::Load { name, version }),
         weights_name().prop_map(|name| OrderKind::Unload { name }),
     ]
 }
 
-fn ordered() -> impl Strategy<Value = OrderResult> {
-    let report = (drawn(), weights(), weights()).prop_map(|(sequence, holds, coming)| {
+fn order_result() -> impl Strategy<Value = OrderResult> {
+    let report = (arbitrary(), weights(), weights()).prop_map(|(sequence, holds, coming)| {
         OrderOutcome::Report(EngineReport { sequence, holds, coming })
     });
     let outcome = prop_oneof![report, Just(OrderOutcome::Done), Just(OrderOutcome::Unknown)];
-    (drawn(), name(), kind(), outcome).prop_map(|(number, endpoint, kind, outcome)| OrderResult {
-        number,
-        endpoint,
-        kind,
-        outcome,
+    (arbitrary(), name(), order_kind(), outcome).prop_map(|(number, endpoint, kind, outcome)| {
+        OrderResult { number, endpoint, kind, outcome }
     })
 }
 
-fn used() -> impl Strategy<Value = WeightsUse> {
-    (name(), weights_name(), drawn(), drawn(), drawn()).prop_map(
+fn weights_use() -> impl Strategy<Value = WeightsUse> {
+    (name(), weights_name(), arbitrary(), arbitrary(), arbitrary()).prop_map(
         |(endpoint, name, requests, reading_ms, under_way)| WeightsUse {
             endpoint,
             name,
@@ -121,8 +127,8 @@
     )
 }
 
-fn told_by_gateways() -> impl Strategy<Value = SessionUp> {
-    let hello = (name(), drawn(), name(), drawn(), drawn(), drawn()).prop_map(
+fn gateway_message() -> impl Strategy<Value = SessionUp> {
+    let hello = (name(), arbitrary(), name(), arbitrary(), arbitrary(), arbitrary()).prop_map(
         |(name, boot_id, zone, address, applied_index, zone_server_failed)| {
             let role = SessionRole::Follower;
             SessionUp::Hello(SessionHello {
@@ -136,28 +142,27 @@
             })
         },
     );
-    let need = (name(), weights_name(), drawn(), drawn()).prop_map(
+    let need = (name(), weights_name(), arbitrary(), arbitrary()).prop_map(
         |(service, weights, requests, more)| AdapterNeed { service, weights, requests, more },
     );
     prop_oneof![
         hello,
-        (drawn(), vec(summary(), 0..3))
+        (arbitrary(), vec(summary(), 0..3))
             .prop_map(|(sent_at_ms, summaries)| SessionUp::Renew { sent_at_ms, summaries }),
         Just(SessionUp::Leave),
-        (name(), drawn()).prop_map(|(endpoint, epoch)| SessionUp::Release { endpoint, epoch }),
+        (name(), arbitrary()).prop_map(|(endpoint, epoch)| SessionUp::Release { endpoint, epoch }),
         vec(need, 0..3).prop_map(SessionUp::Needs),
-        ordered().prop_map(SessionUp::Ordered),
-        (vec(load(), 0..3), vec(used(), 0..3), vec(name(), 0..3))
+        order_result().prop_map(SessionUp::Ordered),
+        (vec(endpoint_load(), 0..3), vec(weights_use(), 0..3), vec(name(), 0..3))
             .prop_map(|(loads, used, failing)| SessionUp::Traffic { loads, used, failing }),
     ]
 }
 
-fn up() -> impl Strategy<Value = SessionUp> {
-    let forwarded =
-        (name(), told_by_gateways()).prop_map(|(gateway, up)| Forwarded { gateway, up });
+fn session_up() -> impl Strategy<Value = SessionUp> {
+    let forwarded = (name(), gateway_message()).prop_map(|(gateway, up)| Forwarded { gateway, up });
     prop_oneof![
-        5 => told_by_gateways(),
-        1 => (drawn(), vec(name(), 0..4))
+        5 => gateway_message(),
+        1 => (arbitrary(), vec(name(), 0..4))
             .prop_map(|(number, gateways)| SessionUp::RenewFor { number, gateways }),
         1 => vec(forwarded, 0..4).prop_map(SessionUp::Forwarded),
         1 => vec(heartbeat(), 0..4).prop_map(SessionUp::Heartbeats),
@@ -166,36 +171,38 @@
 
 fn changes() -> impl Strategy<Value = Vec<Change>> {
     let version =
-        (weights_name(), drawn()).prop_map(|(name, version)| NewestVersion { name, version });
+        (weights_name(), arbitrary()).prop_map(|(name, version)| NewestVersion { name, version });
     let change = prop_oneof![
         name().prop_map(Change::ServiceRetired),
         name().prop_map(Change::EndpointRemoved),
-        registered().prop_map(Change::Registered),
+        registered_endpoint().prop_map(Change::Registered),
         name().prop_map(Change::Deregistered),
         version.prop_map(Change::Version),
     ];
     vec(change, 0..4)
 }
 
-fn down() -> impl Strategy<Value = SessionDown> {
+fn session_down() -> impl Strategy<Value = SessionDown> {
     let placed = (name(), weights_name(), any::<u64>()).prop_map(|(endpoint, name, version)| {
         Placed { endpoint, name, holding: Holding::Ready(version) }
     });
-    let report = (name(), drawn()).prop_map(|(endpoint, running)| LoadReport { endpoint, running });
-    let server = (name(), drawn()).prop_map(|(zone, address)| SessionServer { zone, address });
-    let order = (drawn(), name(), drawn(), kind(), drawn(), name(), drawn()).prop_map(
-        |(number, endpoint, address, kind, expected_sequence, holder, token)| EngineOrder {
-            number,
-            endpoint_name: endpoint.clone(),
-            endpoint,
-            address,
-            kind,
-            expected_sequence,
-            holder,
-            token,
-        },
-    );
-    let group = (vec(drawn(), 0..4), drawn(), drawn(), vec(server, 0..3)).prop_map(
+    let report =
+        (name(), arbitrary()).prop_map(|(endpoint, running)| LoadReport { endpoint, running });
+    let server = (name(), arbitrary()).prop_map(|(zone, address)| SessionServer { zone, address });
+    let order = (arbitrary(), name(), arbitrary(), order_kind(), arbitrary(), name(), arbitrary())
+        .prop_map(|(number, endpoint, address, kind, expected_sequence, holder, token)| {
+            EngineOrder {
+                number,
+                endpoint_name: endpoint.clone(),
+                endpoint,
+                address,
+                kind,
+                expected_sequence,
+                holder,
+                token,
+            }
+        });
+    let group = (vec(arbitrary(), 0..4), arbitrary(), arbitrary(), vec(server, 0..3)).prop_map(
         |(replicas, gateways, counts_every_ms, servers)| Group {
             replicas,
             gateways,
@@ -204,11 +211,13 @@
         },
     );
     prop_oneof![
-        drawn().prop_map(|epoch| SessionDown::Welcome { epoch }),
-        (drawn(), drawn(), drawn(), changes()).prop_map(|(index, reset, complete, changes)| {
-            SessionDown::Changes { index, reset, complete, changes }
-        }),
-        (drawn(), drawn(), vec(summary(), 0..3), vec(report, 0..3)).prop_map(
+        arbitrary().prop_map(|epoch| SessionDown::Welcome { epoch }),
+        (arbitrary(), arbitrary(), arbitrary(), changes()).prop_map(
+            |(index, reset, complete, changes)| {
+                SessionDown::Changes { index, reset, complete, changes }
+            }
+        ),
+        (arbitrary(), arbitrary(), vec(summary(), 0..3), vec(report, 0..3)).prop_map(
             |(sent_at_ms, index, summaries, load_reports)| SessionDown::Renewed {
                 sent_at_ms,
                 index,
@@ -216,14 +225,14 @@
                 load_reports,
             }
         ),
-        drawn().prop_map(|leader| SessionDown::NotLeader { leader }),
+        arbitrary().prop_map(|leader| SessionDown::NotLeader { leader }),
         Just(SessionDown::Expired),
-        (drawn(), vec(placed, 0..3))
+        (arbitrary(), vec(placed, 0..3))
             .prop_map(|(reset, placed)| SessionDown::Placed { reset, placed }),
-        vec(load(), 0..4).prop_map(SessionDown::Loads),
+        vec(endpoint_load(), 0..4).prop_map(SessionDown::Loads),
         order.prop_map(SessionDown::Order),
         group.prop_map(SessionDown::Group),
-        drawn().prop_map(|number| SessionDown::RenewedFor { number }),
+        arbitrary().prop_map(|number| SessionDown::RenewedFor { number }),
     ]
 }
 
@@ -233,48 +242,49 @@
         vec(any::<u8>(), 0..40).prop_map(|bytes| Payload::Command(bytes.into())),
         Just(Payload::Members(Members::default())),
     ];
-    let entry = (drawn(), drawn(), payload).prop_map(|(index, term, payload)| Entry {
+    let entry = (arbitrary(), arbitrary(), payload).prop_map(|(index, term, payload)| Entry {
         index,
         term,
         payload,
     });
-    let snapshot = (drawn(), drawn(), vec(any::<u8>(), 0..40)).prop_map(|(index, term, data)| {
-        Snapshot { index, term, members: Members::default(), data: data.into() }
-    });
+    let snapshot =
+        (arbitrary(), arbitrary(), vec(any::<u8>(), 0..40)).prop_map(|(index, term, data)| {
+            Snapshot { index, term, members: Members::default(), data: data.into() }
+        });
     let message = prop_oneof![
-        (drawn(), drawn())
+        (arbitrary(), arbitrary())
             .prop_map(|(last_index, last_term)| Message::PreVote { last_index, last_term }),
-        drawn().prop_map(|granted| Message::PreVoteReply { granted }),
-        (drawn(), drawn(), drawn()).prop_map(|(last_index, last_term, transfer)| {
+        arbitrary().prop_map(|granted| Message::PreVoteReply { granted }),
+        (arbitrary(), arbitrary(), arbitrary()).prop_map(|(last_index, last_term, transfer)| {
             Message::Vote { last_index, last_term, transfer }
         }),
-        drawn().prop_map(|granted| Message::VoteReply { granted }),
+        arbitrary().prop_map(|granted| Message::VoteReply { granted }),
         (any::<[u64; 4]>(), vec(entry, 0..4)).prop_map(|(numbers, entries)| {
             let [prev_index, prev_term, commit, round] = numbers;
             Message::Append { prev_index, prev_term, entries, commit, round }
         }),
-        (drawn(), drawn(), drawn()).prop_map(|(matched, index, round)| Message::AppendReply {
-            matched,
-            index,
-            round
-        }),
+        (arbitrary(), arbitrary(), arbitrary())
+            .prop_map(|(matched, index, round)| Message::AppendReply { matched, index, round }),
         snapshot.prop_map(Message::Install),
         Just(Message::TimeoutNow),
     ];
-    (drawn(), drawn(), drawn(), drawn(), message).prop_map(|(address, from, to, term, message)| {
-        PeerMessage { address, envelope: Envelope { from, to, term, message } }
-    })
+    (arbitrary(), arbitrary(), arbitrary(), arbitrary(), message).prop_map(
+        |(address, from, to, term, message)| PeerMessage {
+            address,
+            envelope: Envelope { from, to, term, message },
+        },
+    )
 }
 
 #[derive(Debug, Clone)]
-enum Damage {
+enum Corruption {
     Flip(Index, u8),
     Cut(Index),
     Insert(Index, Vec<u8>),
 }
 
-fn damage() -> impl Strategy<Value = Damage> {
-    // What stands in front of an integer of 2, 4, 8 and 16 bytes.
+fn corruption() -> impl Strategy<Value = Corruption> {
+    // The `bincode` markers of integers of 2, 4, 8 and 16 bytes.
     let widths = proptest::sample::select(vec![251_u8, 252, 253, 254]);
     let huge = (widths, any::<[u8; 8]>()).prop_map(|(width, bytes)| {
         let mut huge = vec![width];
@@ -282,22 +292,22 @@
         huge
     });
     prop_oneof![
-        3 => (any::<Index>(), 1..=u8::MAX).prop_map(|(at, bits)| Damage::Flip(at, bits)),
-        1 => any::<Index>().prop_map(Damage::Cut),
-        3 => (any::<Index>(), huge).prop_map(|(at, bytes)| Damage::Insert(at, bytes)),
+        3 => (any::<Index>(), 1..=u8::MAX).prop_map(|(at, bits)| Corruption::Flip(at, bits)),
+        1 => any::<Index>().prop_map(Corruption::Cut),
+        3 => (any::<Index>(), huge).prop_map(|(at, bytes)| Corruption::Insert(at, bytes)),
     ]
 }
 
-fn damaged(mut bytes: Vec<u8>, damages: &[Damage]) -> Vec<u8> {
-    for damage in damages {
-        match damage {
-            Damage::Flip(at, bits) if !bytes.is_empty() => {
+fn corrupt(mut bytes: Vec<u8>, corruptions: &[Corruption]) -> Vec<u8> {
+    for corruption in corruptions {
+        match corruption {
+            Corruption::Flip(at, bits) if !bytes.is_empty() => {
                 let at = at.index(bytes.len());
                 bytes[at] ^= bits;
             }
-            Damage::Flip(..) => {}
-            Damage::Cut(at) => bytes.truncate(at.index(bytes.len() + 1)),
-            Damage::Insert(at, more) => {
+            Corruption::Flip(..) => {}
+            Corruption::Cut(at) => bytes.truncate(at.index(bytes.len() + 1)),
+            Corruption::Insert(at, more) => {
                 let at = at.index(bytes.len() + 1);
                 bytes.splice(at..at, more.iter().copied());
             }
@@ -306,7 +316,7 @@
     bytes
 }
 
-fn valid_messages_arrive_as_sent<T>(messages: impl Strategy<Value = T>)
+fn assert_messages_arrive_unchanged<T>(messages: impl Strategy<Value = T>)
 where
     T: Serialize + DeserializeOwned + std::fmt::Debug + Send + 'static,
 {
@@ -318,13 +328,13 @@
     });
 }
 
-fn damaged_messages_are_read_or_refused<T>(messages: impl Strategy<Value = T>)
+fn assert_corrupted_messages_are_decoded_or_refused<T>(messages: impl Strategy<Value = T>)
 where
     T: Serialize + DeserializeOwned + std::fmt::Debug + Send + 'static,
 {
     let link = Link::new::<T>();
-    check((messages, vec(damage(), 1..4)), |(message, damages)| {
-        let bytes = damaged(encode(&message), &damages);
+    check((messages, vec(corruption(), 1..4)), |(message, corruptions)| {
+        let bytes = corrupt(encode(&message), &corruptions);
         match link.send_body(&bytes) {
             Ok(read) => prop_assert!(read.is_some_and(|read| read.len() <= bytes.len())),
             Err(detail) => prop_assert!(detail.contains("receive"), "{}", detail),
@@ -334,22 +344,22 @@
 }
 
 #[test]
-fn what_gateways_tell_arrives_as_sent() {
-    valid_messages_arrive_as_sent(up());
+fn messages_of_gateways_arrive_unchanged() {
+    assert_messages_arrive_unchanged(session_up());
 }
 
 #[test]
-fn what_the_leader_tells_arrives_as_sent() {
-    valid_messages_arrive_as_sent(down());
+fn messages_of_the_leader_arrive_unchanged() {
+    assert_messages_arrive_unchanged(session_down());
 }
 
 #[test]
-fn what_replicas_tell_arrives_as_sent() {
-    valid_messages_arrive_as_sent(peer_message());
+fn messages_of_replicas_arrive_unchanged() {
+    assert_messages_arrive_unchanged(peer_message());
 }
 
 #[test]
-fn any_bytes_are_no_message_or_one() {
+fn arbitrary_bytes_are_decoded_or_refused() {
     let link = Link::new::<PeerMessage>();
     check(vec(any::<u8>(), 0..100), |bytes| {
         if let Err(detail) = link.send(bytes) {
@@ -360,64 +370,65 @@
 }
 
 #[test]
-fn a_stream_that_ends_within_a_message_says_so() {
+fn a_stream_that_ends_within_a_message_is_an_error() {
     let link = Link::new::<SessionUp>();
-    check((up(), any::<Index>()), |(message, at)| {
+    check((session_up(), any::<Index>()), |(message, at)| {
         let body = encode(&message);
         let mut bytes = [&(body.len() as u32).to_le_bytes(), body.as_slice()].concat();
         bytes.truncate(at.index(bytes.len() - 1) + 1);
-        let detail = link.send(bytes).expect_err("it is not whole");
+        let detail = link.send(bytes).expect_err("the message is incomplete");
         prop_assert!(detail.contains("the stream ends within a message"), "{}", detail);
         Ok(())
     });
 }
 
 #[test]
-fn a_message_longer_than_any_is_refused_at_once() {
+fn a_message_above_the_length_limit_is_refused_by_its_header() {
     let link = Link::new::<SessionUp>();
     check((256_u32 << 20) + 1..=u32::MAX, |length| {
-        let detail = link.send(length.to_le_bytes().to_vec()).expect_err("it is too long");
+        let detail = link.send(length.to_le_bytes().to_vec()).expect_err("the message is too long");
         prop_assert!(detail.contains("too long"), "{}", detail);
         Ok(())
     });
 }
 
 #[test]
-fn damaged_messages_of_gateways_are_read_or_refused() {
-    damaged_messages_are_read_or_refused(up());
+fn corrupted_messages_of_gateways_are_decoded_or_refused() {
+    assert_corrupted_messages_are_decoded_or_refused(session_up());
 }
 
 #[test]
-fn damaged_messages_of_the_leader_are_read_or_refused() {
-    damaged_messages_are_read_or_refused(down());
+fn corrupted_messages_of_the_leader_are_decoded_or_refused() {
+    assert_corrupted_messages_are_decoded_or_refused(session_down());
 }
 
 #[test]
-fn damaged_messages_of_replicas_are_read_or_refused() {
-    damaged_messages_are_read_or_refused(peer_message());
+fn corrupted_messages_of_replicas_are_decoded_or_refused() {
+    assert_corrupted_messages_are_decoded_or_refused(peer_message());
 }
 
-/// A message with more bytes than its fields take is read as if they were not there: the bytes that
-/// are left are not counted.
+/// Without a check that the value uses all bytes, a message followed by further bytes decodes as if
+/// they were not there.
 #[test]
-fn bytes_behind_a_message_are_refused() {
+fn bytes_after_a_message_are_refused() {
     let link = Link::new::<SessionUp>();
-    check((up(), vec(any::<u8>(), 1..20)), |(message, more)| {
+    check((session_up(), vec(any::<u8>(), 1..20)), |(message, more)| {
         let detail = link.send_body(&[encode(&message), more].concat());
         prop_assert!(detail.is_err_and(|detail| detail.contains("left over")));
         Ok(())
     });
 }
 
-/// What gateways told a distributor comes in with the same within it, some hundred thousand times: each
-/// of them takes three bytes of the message and a part of the stack, and the process is gone.
+/// A `Forwarded` message nested in itself some hundred thousand times overflows the stack and
+/// aborts the process: each level takes three bytes of the message and one stack frame or more.
 #[test]
-fn messages_within_messages_are_refused() {
+fn nested_forwarded_messages_are_refused() {
     let link = Link::new::<SessionUp>();
     for depth in [1_000_000, 100_000, 100, 2] {
-        // The ninth kind with one item, whose name is empty; innermost, a gateway that leaves.
+        // `Forwarded` (variant 8) with one item and an empty gateway name; `Leave` (variant 2)
+        // innermost.
         let body = [[8, 1, 0].repeat(depth), vec![2]].concat();
-        let detail = link.send_body(&body).expect_err("gateways forward nothing");
+        let detail = link.send_body(&body).expect_err("nested forwarded messages are refused");
         assert!(detail.contains("receive"), "{detail}");
     }
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,5 @@
-//! Streams between processes: other versions, other purposes and broken messages are refused.
+//! Streams between processes: other wire versions, unknown channels and malformed messages are
+//! refused.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,7 +12,7 @@
 use winchvane::wire::{BoxFuture, Channel, Handler, Incoming, Peer, serve};
 use yare::parameterized;
 
-/// Sends back what it gets.
+/// Sends each received message back.
 struct Echo;
 
 impl Handler for Echo {
@@ -29,7 +30,7 @@
 
 async fn start() -> (std::net::SocketAddr, Metrics) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
-    let address = listener.local_addr().expect("it is bound");
+    let address = listener.local_addr().expect("the listener is bound");
     let metrics = Metrics::local();
     tokio::spawn(serve(listener, Arc::new(Echo), metrics.clone()));
     (address, metrics)
@@ -43,24 +44,24 @@
 #[parameterized(
     older_version = { "/forward", Some("0") },
     no_version = { "/forward", None },
-    unknown_purpose = { "/gossip", Some("1") },
+    unknown_channel = { "/gossip", Some("1") },
 )]
-fn other_versions_and_purposes_are_refused(path: &str, version: Option<&str>) {
+fn other_versions_and_unknown_channels_are_refused(path: &str, version: Option<&str>) {
     run(async {
         let (address, metrics) = start().await;
-        let stream = TcpStream::connect(address).await.expect("it connects");
-        let (sender, connection) = h2::client::handshake(stream).await.expect("h2");
+        let stream = TcpStream::connect(address).await.expect("a connection");
+        let (sender, connection) = h2::client::handshake(stream).await.expect("an h2 handshake");
         tokio::spawn(connection);
         let mut request = Request::builder().method(Method::POST).uri(format!("http://x{path}"));
         if let Some(version) = version {
             request = request.header("winchvane-wire", version);
         }
         let request = request.body(()).expect("a request");
-        let mut sender = sender.ready().await.expect("ready");
-        let (response, _stream) = sender.send_request(request, false).expect("it is sent");
+        let mut sender = sender.ready().await.expect("a connection that is ready");
+        let (response, _stream) = sender.send_request(request, false).expect("the request is sent");
         assert_eq!(response.await.expect("an answer").status(), StatusCode::NOT_IMPLEMENTED);
         assert_eq!(metrics.total(Counter::PeerRefused), 1);
-        // The listener goes on serving others.
+        // The listener continues to serve other streams.
         let echo: String = Peer::new(address)
             .call(Channel::Control, &"still here".to_owned(), 2_000)
             .await
@@ -70,25 +71,29 @@
 }
 
 #[test]
-fn a_message_that_is_none_breaks_its_stream_only() {
+fn a_malformed_message_fails_only_its_stream() {
     run(async {
         let (address, _) = start().await;
-        let stream = TcpStream::connect(address).await.expect("it connects");
-        let (sender, connection) = h2::client::handshake(stream).await.expect("h2");
+        let stream = TcpStream::connect(address).await.expect("a connection");
+        let (sender, connection) = h2::client::handshake(stream).await.expect("an h2 handshake");
         tokio::spawn(connection);
         for bytes in [vec![0xff; 64], vec![3, 0, 0, 0, 0xff, 0xff, 0xff]] {
-            let mut sender = sender.clone().ready().await.expect("ready");
+            let mut sender = sender.clone().ready().await.expect("a connection that is ready");
             let request = Request::builder()
                 .method(Method::POST)
                 .uri("http://x/control")
                 .header("winchvane-wire", "1")
                 .body(())
                 .expect("a request");
-            let (response, mut stream) = sender.send_request(request, false).expect("it is sent");
-            stream.send_data(Bytes::from(bytes), true).expect("it is sent");
+            let (response, mut stream) =
+                sender.send_request(request, false).expect("the request is sent");
+            stream.send_data(Bytes::from(bytes), true).expect("the data is sent");
             let mut body = response.await.expect("the stream is accepted").into_body();
             let next = tokio::time::timeout(Duration::from_secs(5), body.data()).await;
-            assert!(!matches!(next.expect("it ends"), Some(Ok(_))), "nothing is echoed");
+            assert!(
+                !matches!(next.expect("the stream ends in time"), Some(Ok(_))),
+                "nothing is echoed"
+            );
         }
         let peer = Peer::new(address);
         let echo: String =
@@ -98,7 +103,7 @@
 }
 
 #[test]
-fn messages_larger_than_any_window_arrive_whole() {
+fn messages_larger_than_any_window_arrive_complete() {
     run(async {
         let (address, _) = start().await;
         let large = "x".repeat(20 << 20);
@@ -109,10 +114,10 @@
 }
 
 #[test]
-fn an_answer_that_never_comes_is_an_error_that_leaves_the_outcome_open() {
+fn a_missing_answer_is_an_error_with_unknown_outcome() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
-        let address = listener.local_addr().expect("it is bound");
+        let address = listener.local_addr().expect("the listener is bound");
         let silent = tokio::spawn(async move {
             let mut streams = Vec::new();
             while let Ok((stream, _)) = listener.accept().await {
