--- a/src/wire.rs
+++ b/src/wire.rs
@@ -167,7 +167,7 @@
             if let Some(message) = self.decode_buffered()? {
                 return Ok(Some(message));
             }
-            let stream = self.open_body().await?;
+            let stream = self.open().await?;
             let Some(chunk) = stream.data().await else {
                 if self.buffer.is_empty() {
                     return Ok(None);
@@ -184,7 +184,7 @@
     }
 
     /// The body of the stream; waits for the peer's response first if it has not arrived yet.
-    async fn open_body(&mut self) -> Result<&mut RecvStream> {
+    async fn open(&mut self) -> Result<&mut RecvStream> {
         if let Body::Pending(response) = &mut self.body {
             let response = response
                 .await
@@ -253,7 +253,7 @@
         &self,
         channel: Channel,
     ) -> Result<(Sender<Up>, Receiver<Down>)> {
-        let mut sender = self.ready_connection().await?;
+        let mut sender = self.ready().await?;
         let request = Request::builder()
             .method(Method::POST)
             .uri(format!("http://{}{}", self.address, channel.path()))
@@ -300,7 +300,7 @@
     }
 
     /// The open connection once it can take another stream, or a new one.
-    async fn ready_connection(&self) -> Result<SendRequest<Bytes>> {
+    async fn ready(&self) -> Result<SendRequest<Bytes>> {
         let mut slot = self.connection.lock().await;
         if let Some(sender) = slot.take()
             && let Ok(sender) = sender.ready().await
