--- a/src/message/crash.rs
+++ b/src/message/crash.rs
@@ -14,7 +14,7 @@
     pub key: RequestKey,
     /// The weights that the request used.
     pub weights: Option<WeightsName>,
-    /// The time for which it had run, or had waited at the endpoint if it had not started.
+    /// The time for which the request had run, or had waited at the endpoint if it had not started.
     pub ran_ms: u32,
     /// The time between the last request with the same content that the gateway served and the
     /// crash; `None` if the gateway served none recently.
--- a/src/message/mod.rs
+++ b/src/message/mod.rs
@@ -37,9 +37,9 @@
 /// Whether a request that got no answer was run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunState {
-    /// It was never started on an endpoint.
+    /// The request was never started on an endpoint.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
