--- a/src/bin/winchvane.rs
+++ b/src/bin/winchvane.rs
@@ -9,7 +9,7 @@
 use clap_complete::Shell;
 use http::{Method, StatusCode};
 use serde_json::{Value, json};
-use winchvane::document::{Document, DocumentKind, Located, to_declaration};
+use winchvane::document::{Document, DocumentKind, LocatedDocument, to_declaration};
 use winchvane::explain;
 use winchvane::operator::{AdminClient, read_declarations, to_table, to_yaml};
 
@@ -153,7 +153,7 @@
     }
 }
 
-fn read(files: &[PathBuf]) -> Result<Vec<Located>, u8> {
+fn read(files: &[PathBuf]) -> Result<Vec<LocatedDocument>, u8> {
     read_declarations(files).map_err(|faults| {
         for fault in faults {
             eprintln!("{fault}");
@@ -224,7 +224,7 @@
 
 async fn submit(
     client: &AdminClient,
-    documents: &[Located],
+    documents: &[LocatedDocument],
     dry_run: bool,
 ) -> Result<(StatusCode, Value), u8> {
     let documents: Vec<&Document> = documents.iter().map(|located| &located.document).collect();
@@ -253,7 +253,7 @@
     }
 }
 
-fn print_verdicts(documents: &[Located], reply: &Value, dry_run: bool) {
+fn print_verdicts(documents: &[LocatedDocument], reply: &Value, dry_run: bool) {
     let mut rows = Vec::new();
     let mut unchanged = 0;
     for (located, verdict) in
@@ -327,7 +327,7 @@
     if differs || !only_accepted.is_empty() { EXIT_DIFFERENT } else { 0 }
 }
 
-fn only_accepted(documents: &[Located], accepted: &Value) -> Vec<String> {
+fn only_accepted(documents: &[LocatedDocument], accepted: &Value) -> Vec<String> {
     let mut names = std::collections::BTreeSet::new();
     for located in documents {
         names.insert((located.document.kind(), located.document.name().clone()));
--- a/src/document/mod.rs
+++ b/src/document/mod.rs
@@ -42,7 +42,7 @@
 
 use crate::message::Priority;
 
-pub use read::{Located, check_together, parse};
+pub use read::{LocatedDocument, check_consistency, parse};
 pub use render::render;
 
 /// What an operator submits.
--- a/src/document/read.rs
+++ b/src/document/read.rs
@@ -11,7 +11,7 @@
 
 /// A document and the place it was read from.
 #[derive(Debug, Clone)]
-pub struct Located {
+pub struct LocatedDocument {
     /// The file as the operator named it.
     pub file: Arc<str>,
     /// The line on which the document starts.
@@ -21,20 +21,20 @@
 }
 
 /// Reads all documents of one file; what is wrong is added to `faults`.
-pub fn parse(file: &Arc<str>, text: &str, faults: &mut Faults) -> Vec<Located> {
+pub fn parse(file: &Arc<str>, text: &str, faults: &mut Faults) -> Vec<LocatedDocument> {
     let source = Source::parse(file, text, faults);
     let mut documents = Vec::new();
     for root in source.roots() {
         let Some(document) = read_document(&root, faults) else { continue };
-        documents.push(Located { file: file.clone(), line: root.line(), document });
+        documents.push(LocatedDocument { file: file.clone(), line: root.line(), document });
     }
     documents
 }
 
 /// Checks what only shows across documents: names given twice, templates missing, and services
 /// that do not fit their template.
-pub fn check_together(documents: &[Located], faults: &mut Faults) {
-    let mut seen: BTreeMap<(DocumentKind, Arc<str>), &Located> = BTreeMap::new();
+pub fn check_consistency(documents: &[LocatedDocument], faults: &mut Faults) {
+    let mut seen: BTreeMap<(DocumentKind, Arc<str>), &LocatedDocument> = BTreeMap::new();
     for located in documents {
         let key = (located.document.kind(), located.document.name().clone());
         if let Some(first) = seen.get(&key) {
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -10,7 +10,7 @@
 use saphyr::{Mapping, Scalar, Yaml, YamlEmitter};
 use serde_json::Value;
 
-use crate::document::{Located, check_together, parse};
+use crate::document::{LocatedDocument, check_consistency, parse};
 use crate::error::{Error, Result};
 use crate::http::{HttpClient, request};
 use crate::yaml::{Fault, Faults};
@@ -23,7 +23,9 @@
 ///
 /// # Errors
 /// Every fault, with its file and line.
-pub fn read_declarations(paths: &[PathBuf]) -> std::result::Result<Vec<Located>, Vec<Fault>> {
+pub fn read_declarations(
+    paths: &[PathBuf],
+) -> std::result::Result<Vec<LocatedDocument>, Vec<Fault>> {
     let mut faults = Faults::new();
     let mut documents = Vec::new();
     for path in files(paths, &mut faults) {
@@ -33,7 +35,7 @@
             Err(error) => faults.add_file(&file, 0, format!("cannot be read: {error}")),
         }
     }
-    check_together(&documents, &mut faults);
+    check_consistency(&documents, &mut faults);
     if documents.is_empty() && faults.is_empty() {
         let names: Vec<String> = paths.iter().map(|path| path.display().to_string()).collect();
         faults.add_file(&names.join(", ").into(), 0, "holds no declaration");
--- a/tests/declarations.rs
+++ b/tests/declarations.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use winchvane::control::config::Config;
-use winchvane::document::{Document, check_together, parse, render, to_declaration};
+use winchvane::document::{Document, check_consistency, parse, render, to_declaration};
 use winchvane::message::{Change, NotRepeatable, Verdict};
 use winchvane::operator::to_yaml;
 use winchvane::yaml::Faults;
@@ -36,7 +36,7 @@
 fn faults_of(text: &str) -> Vec<String> {
     let mut faults = Faults::new();
     let documents = parse(&"d.yaml".into(), text, &mut faults);
-    check_together(&documents, &mut faults);
+    check_consistency(&documents, &mut faults);
     faults.into_vec().iter().map(ToString::to_string).collect()
 }
 
--- a/tests/fuzz_documents.rs
+++ b/tests/fuzz_documents.rs
@@ -13,7 +13,7 @@
 use proptest::sample::{Index, select};
 use proptest::test_runner::TestCaseResult;
 use winchvane::document::{
-    Document, FieldValue, ServiceDeclaration, check_together, parse, to_declaration,
+    Document, FieldValue, ServiceDeclaration, check_consistency, parse, to_declaration,
 };
 use winchvane::message::WeightsName;
 use winchvane::operator::to_yaml;
@@ -118,7 +118,7 @@
 fn read(text: &str) -> (Vec<Document>, Vec<Fault>) {
     let mut faults = Faults::new();
     let located = parse(&"d.yaml".into(), text, &mut faults);
-    check_together(&located, &mut faults);
+    check_consistency(&located, &mut faults);
     (located.into_iter().map(|located| located.document).collect(), faults.into_vec())
 }
 
