--- a/src/document/mod.rs
+++ b/src/document/mod.rs
@@ -1,4 +1,5 @@
-//! Declarations: templates with typed parameters and the services that fill them in.
+//! The declarations of operators: templates with typed parameters, and services that give values for
+//! the parameters of a template.
 //!
 //! ```
 //! use winchvane::document::{parse, render, Document};
@@ -45,17 +46,17 @@
 pub use read::{LocatedDocument, check_consistency, parse};
 pub use render::render;
 
-/// What an operator submits.
+/// A declaration of an operator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Document {
-    /// A shape that many services share.
+    /// A template shared by many services.
     Template(Template),
     /// One service, made from a template.
     Service(ServiceDeclaration),
 }
 
 impl Document {
-    /// `template` or `service`.
+    /// The kind of the declaration.
     pub fn kind(&self) -> DocumentKind {
         match self {
             Self::Template(_) => DocumentKind::Template,
@@ -71,7 +72,7 @@
         }
     }
 
-    /// The version, which only ever rises.
+    /// The version, which every change must raise.
     pub fn version(&self) -> u64 {
         match self {
             Self::Template(template) => template.version,
@@ -99,27 +100,27 @@
     }
 }
 
-/// A shape that many services share, with typed parameters.
+/// The fields that many services share, with typed parameters for those that differ.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Template {
     /// The unique name.
     pub name: Arc<str>,
-    /// The version, which only ever rises.
+    /// The version, which every change must raise.
     pub version: u64,
-    /// The pool of endpoints that serves it.
+    /// The pool of endpoints that run the services.
     pub pool: Arc<str>,
-    /// The parameters that a service fills in.
+    /// The parameters, for which a service gives values.
     pub parameters: BTreeMap<Arc<str>, Parameter>,
-    /// The fields of the service, with references to parameters.
+    /// The fields of a service, as values or references to parameters.
     pub fields: BTreeMap<Field, FieldValue>,
 }
 
 /// A parameter of a template.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Parameter {
-    /// The type that a value must have.
+    /// The type of its values.
     pub kind: ParameterKind,
-    /// The value used when a service names none.
+    /// The value used if a service gives none.
     pub default: Option<FieldValue>,
 }
 
@@ -173,24 +174,24 @@
     Parameter(Arc<str>),
 }
 
-/// The fields that a template gives its services.
+/// A field of a service, which its template sets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Field {
-    /// The adapter; a template without it describes a plain service.
+    /// The adapter; without an adapter, the service is a plain service.
     Adapter,
     /// The version of the adapter.
     AdapterVersion,
     /// The priority.
     Priority,
-    /// The longest time that a caller waits, in milliseconds.
+    /// The longest time that a caller waits for an answer, in milliseconds.
     DeadlineMs,
-    /// The most tokens that one answer may have.
+    /// The maximum number of tokens of an answer.
     MaxTokens,
-    /// Which calls may never be repeated.
+    /// The calls that must not be repeated.
     NotRepeatable,
 }
 
-const FIELDS: [(&str, Field); 6] = [
+const FIELD_NAMES: [(&str, Field); 6] = [
     ("adapter", Field::Adapter),
     ("adapter_version", Field::AdapterVersion),
     ("priority", Field::Priority),
@@ -201,16 +202,16 @@
 
 impl Field {
     fn name(self) -> &'static str {
-        for (name, field) in FIELDS {
+        for (name, field) in FIELD_NAMES {
             if field == self {
                 return name;
             }
         }
-        unreachable!("every field stands in FIELDS")
+        unreachable!("FIELD_NAMES contains every field")
     }
 
     fn parse(name: &str) -> Option<Self> {
-        for (known, field) in FIELDS {
+        for (known, field) in FIELD_NAMES {
             if known == name {
                 return Some(field);
             }
@@ -219,20 +220,20 @@
     }
 }
 
-/// One service as its operator declares it.
+/// A service as declared by an operator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceDeclaration {
-    /// The unique name, which callers give as `model`.
+    /// The unique name, which callers send as `model`.
     pub name: Arc<str>,
-    /// The version, which only ever rises.
+    /// The version, which every change must raise.
     pub version: u64,
     /// The workspace that owns the service.
     pub workspace: Arc<str>,
-    /// The template that the service fills in.
+    /// The name of the service's template.
     pub template: Arc<str>,
     /// The values for the template's parameters.
     pub parameters: BTreeMap<Arc<str>, FieldValue>,
-    /// True when the service is no longer served; its name and version stay taken.
+    /// True if the service is no longer served; its name and version remain reserved.
     pub retired: bool,
 }
 
@@ -240,7 +241,7 @@
 const NAME_EXPECTED: &str = "expected 1 to 128 of the characters a-z, A-Z, 0-9, '-', '_' and '.', starting with one of the \
      first three kinds";
 
-/// True for a text that can name a document, a workspace, a pool or an adapter.
+/// True if `text` is a valid name of a document, a workspace, a pool or an adapter.
 pub fn is_name(text: &str) -> bool {
     let bytes = text.as_bytes();
     let Some(first) = bytes.first() else { return false };
@@ -255,6 +256,7 @@
     true
 }
 
+/// The names separated by commas, or `none`.
 fn list<'a>(names: impl Iterator<Item = &'a Arc<str>>) -> String {
     let mut text = String::new();
     for name in names {
@@ -266,7 +268,7 @@
     if text.is_empty() { "none".to_owned() } else { text }
 }
 
-/// What is wrong with a declaration that did not come through [`parse`].
+/// Checks a declaration that was not read by [`parse`], and returns its problems.
 pub fn validate(document: &Document) -> Vec<String> {
     let mut problems = Vec::new();
     let mut check = |field: &str, text: &str| {
@@ -288,7 +290,7 @@
     problems
 }
 
-/// The declaration as an operator writes it, for output that can be applied again.
+/// Converts a declaration to the format that [`parse`] reads, so that the output can be applied again.
 pub fn to_declaration(document: &Document) -> serde_json::Value {
     use serde_json::{Map, Value};
     let mut declaration = Map::new();
--- a/src/document/read.rs
+++ b/src/document/read.rs
@@ -1,18 +1,18 @@
-//! Reading declarations, so that every mistake is named with its place.
+//! Reads declarations from YAML and reports each mistake with its file, line and field.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use crate::document::{
-    Document, DocumentKind, FIELDS, Field, FieldValue, NAME_EXPECTED, Parameter, ParameterKind,
-    ServiceDeclaration, Template, is_name, list, render,
+    Document, DocumentKind, FIELD_NAMES, Field, FieldValue, NAME_EXPECTED, Parameter,
+    ParameterKind, ServiceDeclaration, Template, is_name, list, render,
 };
-use crate::yaml::{Faults, Node, Source, Value};
+use crate::yaml::{Faults, Node, ParsedFile, Value};
 
-/// A document and the place it was read from.
+/// A document and the position it was read from.
 #[derive(Debug, Clone)]
 pub struct LocatedDocument {
-    /// The file as the operator named it.
+    /// The path of the file as the operator gave it.
     pub file: Arc<str>,
     /// The line on which the document starts.
     pub line: usize,
@@ -20,19 +20,19 @@
     pub document: Document,
 }
 
-/// Reads all documents of one file; what is wrong is added to `faults`.
+/// Reads all documents of a file, and adds the mistakes in it to `faults`.
 pub fn parse(file: &Arc<str>, text: &str, faults: &mut Faults) -> Vec<LocatedDocument> {
-    let source = Source::parse(file, text, faults);
+    let parsed = ParsedFile::parse(file, text, faults);
     let mut documents = Vec::new();
-    for root in source.roots() {
+    for root in parsed.roots() {
         let Some(document) = read_document(&root, faults) else { continue };
         documents.push(LocatedDocument { file: file.clone(), line: root.line(), document });
     }
     documents
 }
 
-/// Checks what only shows across documents: names given twice, templates missing, and services
-/// that do not fit their template.
+/// Checks the documents against each other: reports names that are declared twice, templates that are
+/// missing, and services that do not fit their template.
 pub fn check_consistency(documents: &[LocatedDocument], faults: &mut Faults) {
     let mut seen: BTreeMap<(DocumentKind, Arc<str>), &LocatedDocument> = BTreeMap::new();
     for located in documents {
@@ -60,9 +60,9 @@
     }
 }
 
-/// The parts of a document while it is read.
+/// The fields of a document of either kind.
 #[derive(Default)]
-struct Parts<'a> {
+struct RawDocument<'a> {
     name: Option<Arc<str>>,
     version: Option<u64>,
     pool: Option<Arc<str>>,
@@ -102,44 +102,44 @@
         DocumentKind::Template => TEMPLATE_FIELDS,
         DocumentKind::Service => SERVICE_FIELDS,
     };
-    let parts = read_parts(root, fields, known, faults);
+    let raw = read_raw(root, fields, known, faults);
     match kind {
-        DocumentKind::Template => read_template(root, parts, faults).map(Document::Template),
-        DocumentKind::Service => read_service(root, parts, faults).map(Document::Service),
+        DocumentKind::Template => read_template(root, raw, faults).map(Document::Template),
+        DocumentKind::Service => read_service(root, raw, faults).map(Document::Service),
     }
 }
 
-fn read_parts<'a>(
+fn read_raw<'a>(
     root: &Node<'_>,
     fields: Vec<(String, Node<'a>)>,
     known: &[&str],
     faults: &mut Faults,
-) -> Parts<'a> {
-    let mut parts = Parts::default();
+) -> RawDocument<'a> {
+    let mut raw = RawDocument::default();
     for (name, node) in fields {
         if !known.contains(&name.as_str()) {
             faults.add(&node, format!("unknown field; expected one of {}", known.join(", ")));
             continue;
         }
         match name.as_str() {
-            "name" => parts.name = read_name(&node, faults),
-            "version" => parts.version = node.int(1..=u64::from(u32::MAX), faults),
-            "pool" => parts.pool = read_name(&node, faults),
-            "workspace" => parts.workspace = read_name(&node, faults),
-            "template" => parts.template = read_name(&node, faults),
-            "parameters" => parts.parameters = Some(node),
-            "service" => parts.service = Some(node),
-            "retired" => parts.retired = node.bool(faults).unwrap_or(false),
+            "name" => raw.name = read_name(&node, faults),
+            "version" => raw.version = node.int(1..=u64::from(u32::MAX), faults),
+            "pool" => raw.pool = read_name(&node, faults),
+            "workspace" => raw.workspace = read_name(&node, faults),
+            "template" => raw.template = read_name(&node, faults),
+            "parameters" => raw.parameters = Some(node),
+            "service" => raw.service = Some(node),
+            "retired" => raw.retired = node.bool(faults).unwrap_or(false),
             _ => {}
         }
     }
-    if parts.name.is_none() {
+    if raw.name.is_none() {
         faults.add(root, "a valid name is required");
     }
-    if parts.version.is_none() {
+    if raw.version.is_none() {
         faults.add(root, "a valid version is required");
     }
-    parts
+    raw
 }
 
 fn read_name(node: &Node<'_>, faults: &mut Faults) -> Option<Arc<str>> {
@@ -151,16 +151,16 @@
     Some(text)
 }
 
-fn read_template(root: &Node<'_>, parts: Parts<'_>, faults: &mut Faults) -> Option<Template> {
+fn read_template(root: &Node<'_>, raw: RawDocument<'_>, faults: &mut Faults) -> Option<Template> {
     let mut parameters = BTreeMap::new();
-    if let Some(node) = &parts.parameters {
+    if let Some(node) = &raw.parameters {
         for (name, node) in node.fields(faults) {
             let Some(parameter) = read_parameter(&node, faults) else { continue };
             parameters.insert(Arc::from(name), parameter);
         }
     }
     let mut fields = BTreeMap::new();
-    match &parts.service {
+    match &raw.service {
         None => faults.add(root, "the field service is missing; expected a mapping of fields"),
         Some(node) => {
             for (name, node) in node.fields(faults) {
@@ -171,16 +171,10 @@
             }
         }
     }
-    if parts.pool.is_none() {
+    if raw.pool.is_none() {
         faults.add(root, "a valid pool is required");
     }
-    Some(Template {
-        name: parts.name?,
-        version: parts.version?,
-        pool: parts.pool?,
-        parameters,
-        fields,
-    })
+    Some(Template { name: raw.name?, version: raw.version?, pool: raw.pool?, parameters, fields })
 }
 
 fn read_parameter(node: &Node<'_>, faults: &mut Faults) -> Option<Parameter> {
@@ -206,7 +200,7 @@
         }
     }
     let Some(kind) = kind else {
-        faults.add(node, "the field type is missing");
+        faults.add(node, "the field type is missing; expected text, integer, boolean or priority");
         return None;
     };
     if let Some((value, field)) = &default
@@ -225,7 +219,7 @@
     faults: &mut Faults,
 ) -> Option<(Field, FieldValue)> {
     let Some(field) = Field::parse(name) else {
-        let known = FIELDS.map(|(name, _)| name).join(", ");
+        let known = FIELD_NAMES.map(|(name, _)| name).join(", ");
         faults.add(node, format!("unknown field; expected one of {known}"));
         return None;
     };
@@ -258,28 +252,28 @@
 
 fn read_service(
     root: &Node<'_>,
-    parts: Parts<'_>,
+    raw: RawDocument<'_>,
     faults: &mut Faults,
 ) -> Option<ServiceDeclaration> {
     let mut parameters = BTreeMap::new();
-    if let Some(node) = &parts.parameters {
+    if let Some(node) = &raw.parameters {
         for (name, node) in node.fields(faults) {
             let Some(value) = read_literal(&node, faults) else { continue };
             parameters.insert(Arc::from(name), value);
         }
     }
-    if parts.workspace.is_none() {
+    if raw.workspace.is_none() {
         faults.add(root, "a valid workspace is required");
     }
-    if parts.template.is_none() {
+    if raw.template.is_none() {
         faults.add(root, "a valid template is required");
     }
     Some(ServiceDeclaration {
-        name: parts.name?,
-        version: parts.version?,
-        workspace: parts.workspace?,
-        template: parts.template?,
+        name: raw.name?,
+        version: raw.version?,
+        workspace: raw.workspace?,
+        template: raw.template?,
         parameters,
-        retired: parts.retired,
+        retired: raw.retired,
     })
 }
--- a/src/document/render.rs
+++ b/src/document/render.rs
@@ -1,4 +1,5 @@
-//! Filling a template in.
+//! Renders services from templates: replaces references to parameters by their values and checks the
+//! result.
 
 use std::sync::Arc;
 
@@ -12,11 +13,11 @@
 const MAX_TOKENS_DEFAULT: u32 = 1_024;
 const MAX_TOKENS_LIMIT: u64 = 131_072;
 
-/// Fills the template in.
+/// Renders the service that `declaration` declares with `template`.
 ///
 /// # Errors
-/// Every parameter that is missing, unknown or of the wrong type, and every field whose value does
-/// not fit, each as one line.
+/// One line for each parameter that is missing, unknown or of the wrong type, and for each field with an
+/// invalid value.
 pub fn render(
     template: &Template,
     declaration: &ServiceDeclaration,
@@ -39,7 +40,7 @@
     let adapter_name = renderer.text(Field::Adapter);
     let adapter_version = renderer.int(Field::AdapterVersion, 1, u64::from(u32::MAX));
     if adapter_name.is_some() && adapter_version.is_none() {
-        renderer.problem(Field::AdapterVersion, "is required beside adapter");
+        renderer.add_problem(Field::AdapterVersion, "is required beside adapter");
     }
     let priority = renderer.priority();
     let deadline_ms = renderer.int(Field::DeadlineMs, 1, DEADLINE_MAX_MS);
@@ -71,10 +72,12 @@
 }
 
 impl Renderer<'_> {
-    fn problem(&mut self, field: Field, detail: &str) {
+    fn add_problem(&mut self, field: Field, detail: &str) {
         self.problems.push(format!("{}: {detail}", field.name()));
     }
 
+    /// The value of a field after references to parameters are replaced; `None` if the template does not
+    /// set the field or a parameter without default is missing.
     fn value(&mut self, field: Field) -> Option<FieldValue> {
         let value = self.template.fields.get(&field)?;
         let FieldValue::Parameter(name) = value else { return Some(value.clone()) };
@@ -89,11 +92,12 @@
         default
     }
 
+    /// The name that a field holds.
     fn text(&mut self, field: Field) -> Option<Arc<str>> {
         match self.value(field)? {
             FieldValue::Text(text) if is_name(&text) => Some(text),
             _ => {
-                self.problem(field, NAME_EXPECTED);
+                self.add_problem(field, NAME_EXPECTED);
                 None
             }
         }
@@ -106,7 +110,7 @@
         {
             return Some(value);
         }
-        self.problem(field, &format!("expected an integer from {low} to {high}"));
+        self.add_problem(field, &format!("expected an integer from {low} to {high}"));
         None
     }
 
@@ -117,7 +121,7 @@
         {
             return priority;
         }
-        self.problem(Field::Priority, "expected interactive, standard or batch");
+        self.add_problem(Field::Priority, "expected interactive, standard or batch");
         Priority::Standard
     }
 
@@ -128,7 +132,7 @@
             Some(FieldValue::Texts(calls)) => NotRepeatable::Calls(calls.into()),
             Some(_) => {
                 let expected = "expected true, false or a list such as [\"POST /orders\"]";
-                self.problem(Field::NotRepeatable, expected);
+                self.add_problem(Field::NotRepeatable, expected);
                 NotRepeatable::None
             }
         }
--- a/src/settings/control.rs
+++ b/src/settings/control.rs
@@ -1,4 +1,4 @@
-//! Reading the settings of `winchvane-control`.
+//! Reads the settings of `winchvane-control`.
 
 use std::path::PathBuf;
 
@@ -8,14 +8,14 @@
 use crate::control::placement::PlacementSettings;
 use crate::control::raft::Timing;
 use crate::policy::quota::QuotaBounds;
-use crate::settings::reader::{Fields, check_ports, read_address, read_common};
+use crate::settings::reader::{FieldReader, check_ports, read_address, read_common};
 use crate::settings::{ControlSettings, PoolSettings, ReplicaAddress, SeedSettings};
 use crate::yaml::{Faults, Node};
 
 const DAY_MS: u64 = 86_400_000;
 
 pub(super) fn read_control(root: &Node<'_>, faults: &mut Faults) -> Option<ControlSettings> {
-    let mut fields = Fields::new(root, faults);
+    let mut fields = FieldReader::new(root, faults);
     let common = read_common(&mut fields);
     let region = fields.name("region");
     let data_folder = fields
@@ -48,7 +48,7 @@
     if seeds.is_none() && !replicas.iter().any(|replica| replica.address == common.peers_address())
     {
         let address = common.peers_address();
-        faults.add(root, format!("replicas must name this replica's own listen_peers {address}"));
+        faults.add(root, format!("replicas must contain this replica's own address {address}"));
     }
     Some(ControlSettings {
         common,
@@ -71,7 +71,7 @@
     })
 }
 
-fn read_timing(fields: &mut Fields<'_, '_>) -> Timing {
+fn read_timing(fields: &mut FieldReader<'_, '_>) -> Timing {
     let heartbeat_ms = fields.int_or("heartbeat_ms", 100, 10..=5_000);
     let election_ms = fields.int_or("election_ms", 600, 50..=60_000);
     if election_ms < heartbeat_ms * 3 {
@@ -81,7 +81,7 @@
     Timing { heartbeat_ms, election_ms }
 }
 
-fn read_quota(fields: &mut Fields<'_, '_>) -> QuotaBounds {
+fn read_quota(fields: &mut FieldReader<'_, '_>) -> QuotaBounds {
     let default = QuotaBounds::default();
     QuotaBounds {
         window_ms: fields.int_or("window_ms", default.window_ms, 100..=3_600_000),
@@ -90,7 +90,7 @@
     }
 }
 
-fn read_placement(fields: &mut Fields<'_, '_>) -> PlacementSettings {
+fn read_placement(fields: &mut FieldReader<'_, '_>) -> PlacementSettings {
     let default = PlacementSettings::default();
     PlacementSettings {
         order_lease_ms: fields.int_or("order_lease_ms", default.order_lease_ms, 0..=600_000),
@@ -108,10 +108,13 @@
     }
 }
 
-/// Seeds are named by where they serve anyone; `peer_port` is where they serve each other.
-fn read_seeds(fields: &mut Fields<'_, '_>) -> Option<(SeedSettings, Vec<ReplicaAddress>)> {
+/// Reads the seeds and the number of failures that the group should tolerate.
+///
+/// The addresses are those at which any client reaches the seeds; `peer_port`, if set, is the port at
+/// which they reach each other.
+fn read_seeds(fields: &mut FieldReader<'_, '_>) -> Option<(SeedSettings, Vec<ReplicaAddress>)> {
     let node = fields.optional("seeds")?;
-    let mut seeds = Fields::new(&node, fields.faults);
+    let mut seeds = FieldReader::new(&node, fields.faults);
     let found = seeds.bool_or("found", false);
     let failures = seeds.int_or("failures", 1, 0..=100);
     let peer_port = seeds.int_or("peer_port", 0, 0..=65_535) as u16;
@@ -129,13 +132,13 @@
     Some((SeedSettings { found, voters: failures as usize * 2 + 1 }, replicas))
 }
 
-fn read_replicas(fields: &mut Fields<'_, '_>) -> Vec<ReplicaAddress> {
+fn read_replicas(fields: &mut FieldReader<'_, '_>) -> Vec<ReplicaAddress> {
     let mut replicas: Vec<ReplicaAddress> = Vec::new();
     let Some(node) = fields.required("replicas", "a list of {name, address}") else {
         return replicas;
     };
     for item in node.items(fields.faults) {
-        let mut replica = Fields::new(&item, fields.faults);
+        let mut replica = FieldReader::new(&item, fields.faults);
         let name = replica.name("name");
         let address = replica.address("address");
         replica.finish();
@@ -155,10 +158,10 @@
     replicas
 }
 
-fn read_store(fields: &mut Fields<'_, '_>) -> Option<StoreBudget> {
+fn read_store(fields: &mut FieldReader<'_, '_>) -> Option<StoreBudget> {
     let expected = "a mapping with loads_per_s and concurrent_loads";
     let node = fields.required("store", expected)?;
-    let mut store = Fields::new(&node, fields.faults);
+    let mut store = FieldReader::new(&node, fields.faults);
     let loads_per_s = store
         .required("loads_per_s", "a number")
         .and_then(|node| node.number(0.01..=100_000.0, store.faults));
@@ -174,13 +177,13 @@
     })
 }
 
-fn read_pools(fields: &mut Fields<'_, '_>) -> Vec<PoolSettings> {
+fn read_pools(fields: &mut FieldReader<'_, '_>) -> Vec<PoolSettings> {
     let mut pools: Vec<PoolSettings> = Vec::new();
     let Some(node) = fields.required("pools", "a list of {name, kind, checks_epoch}") else {
         return pools;
     };
     for item in node.items(fields.faults) {
-        let mut pool = Fields::new(&item, fields.faults);
+        let mut pool = FieldReader::new(&item, fields.faults);
         let name = pool.name("name");
         let kind = match pool.required("kind", "engine or plain").and_then(|node| {
             let text = node.text(pool.faults)?;
--- a/src/settings/gateway.rs
+++ b/src/settings/gateway.rs
@@ -1,16 +1,16 @@
-//! Reading the settings of `winchvane-gateway`.
+//! Reads the settings of `winchvane-gateway`.
 
 use std::net::SocketAddr;
 
 use crate::policy::route::MAX_HOMES;
-use crate::settings::reader::{Fields, check_ports, read_address, read_common};
+use crate::settings::reader::{FieldReader, check_ports, read_address, read_common};
 use crate::settings::{
     CallerLimits, EndpointSettings, GatewaySettings, LeaseSettings, PolicySettings, RetrySettings,
 };
 use crate::yaml::{Faults, Node};
 
 pub(super) fn read_gateway(root: &Node<'_>, faults: &mut Faults) -> Option<GatewaySettings> {
-    let mut fields = Fields::new(root, faults);
+    let mut fields = FieldReader::new(root, faults);
     let common = read_common(&mut fields);
     let listen_callers = fields.address("listen_callers");
     let control = read_control_addresses(&mut fields);
@@ -48,7 +48,7 @@
     })
 }
 
-fn read_control_addresses(fields: &mut Fields<'_, '_>) -> Vec<SocketAddr> {
+fn read_control_addresses(fields: &mut FieldReader<'_, '_>) -> Vec<SocketAddr> {
     let mut addresses = Vec::new();
     let Some(node) = fields.required("control", "a list of the addresses of control's replicas")
     else {
@@ -77,7 +77,7 @@
     }
 }
 
-fn read_limits(fields: &mut Fields<'_, '_>) -> CallerLimits {
+fn read_limits(fields: &mut FieldReader<'_, '_>) -> CallerLimits {
     let default = default_limits();
     CallerLimits {
         body_max_bytes: fields.int_or(
@@ -120,7 +120,7 @@
     LeaseSettings { renew_ms: 500, lease_ms: 2_500, margin_ms: 300, freshness_ms: 5_000 }
 }
 
-fn read_lease(fields: &mut Fields<'_, '_>) -> LeaseSettings {
+fn read_lease(fields: &mut FieldReader<'_, '_>) -> LeaseSettings {
     let default = default_lease();
     let lease = LeaseSettings {
         renew_ms: fields.int_or("renew_ms", default.renew_ms, 50..=10_000),
@@ -139,7 +139,7 @@
     RetrySettings { attempts: 4, budget_ratio: 0.2, budget_burst: 20.0 }
 }
 
-fn read_policy(fields: &mut Fields<'_, '_>) -> PolicySettings {
+fn read_policy(fields: &mut FieldReader<'_, '_>) -> PolicySettings {
     let default = PolicySettings::default();
     PolicySettings {
         load_stall_weight: fields.number_or(
@@ -190,7 +190,7 @@
     }
 }
 
-fn read_endpoints(fields: &mut Fields<'_, '_>) -> EndpointSettings {
+fn read_endpoints(fields: &mut FieldReader<'_, '_>) -> EndpointSettings {
     let default = default_endpoints();
     EndpointSettings {
         connect_timeout_ms: fields.int_or(
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The settings of each process: one YAML file, checked whole before anything starts.
+//! The settings of each process, read from one YAML file and fully checked before the process starts.
 
 mod control;
 mod gateway;
@@ -17,175 +17,177 @@
 use crate::policy::quota::QuotaBounds;
 use crate::settings::control::read_control;
 use crate::settings::gateway::read_gateway;
-use crate::settings::reader::parse_with;
+use crate::settings::reader::parse_settings;
 pub use crate::settings::relay::{RelayRetrySettings, RelaySettings};
 use crate::yaml::{Fault, Faults};
 
-/// Settings that every process has.
+/// Settings shared by `winchvane-control` and `winchvane-gateway`.
 #[derive(Debug, Clone)]
-pub struct Common {
+pub struct CommonSettings {
     /// The instance's name, unique among processes of its kind.
     pub name: Arc<str>,
     /// The availability zone.
     pub zone: Arc<str>,
-    /// Where peers reach this process.
+    /// The listener for other processes of the system.
     pub listen_peers: SocketAddr,
-    /// Where other processes reach `listen_peers`, when that is another address.
+    /// The address at which other processes reach `listen_peers`, if it differs from `listen_peers`.
     pub advertise_peers: Option<SocketAddr>,
-    /// Where state dumps, log levels and, on gateways, declarations are taken.
+    /// The listener for requests of operators: state dumps, log levels and, on gateways, declarations.
     pub listen_admin: SocketAddr,
-    /// The log level at the start.
+    /// The initial log level.
     pub log_level: Arc<str>,
-    /// Where statsd lines go.
+    /// The address to which metrics are sent in the statsd format; `None` to send none.
     pub metrics_address: Option<SocketAddr>,
-    /// The first part of every metric's name.
+    /// The prefix of every metric's name.
     pub metrics_prefix: Arc<str>,
 }
 
-/// A replica of control as the settings of others name it.
+/// The name and address of a replica of control.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReplicaAddress {
-    /// Its name.
+    /// The name, unique in the group.
     pub name: Arc<str>,
-    /// Where peers reach it.
+    /// The address at which other processes reach the replica.
     pub address: SocketAddr,
 }
 
-/// What the platform's list does not tell about a pool's endpoints.
+/// Properties of a pool's endpoints that the platform's list of instances does not contain.
 #[derive(Debug, Clone)]
 pub struct PoolSettings {
-    /// The pool.
+    /// The pool's name.
     pub name: Arc<str>,
-    /// Engines or plain services.
+    /// Whether the endpoints are engines or plain services.
     pub kind: EndpointKind,
-    /// True when the endpoints refuse orders with an old epoch.
+    /// True if the endpoints refuse orders with an epoch below the highest they have seen.
     pub checks_epoch: bool,
-    /// How many requests a plain service takes at once.
+    /// The number of requests that a plain service runs at once.
     pub places: u32,
 }
 
 /// Settings of `winchvane-control`.
 #[derive(Debug, Clone)]
 pub struct ControlSettings {
-    /// What every process has.
-    pub common: Common,
-    /// The region whose group this replica belongs to.
+    /// Settings shared with the gateway.
+    pub common: CommonSettings,
+    /// The region that the replica's group serves.
     pub region: Arc<str>,
-    /// The folder for identity, snapshot and log.
+    /// The folder for the replica's identity, snapshot and log.
     pub data_folder: PathBuf,
-    /// Every replica of the group, this one included.
+    /// All replicas of the group, including this one; if `seeds` is set, the addresses listed there.
     pub replicas: Vec<ReplicaAddress>,
-    /// Heartbeat and election periods.
+    /// Heartbeat interval and election timeout.
     pub timing: Timing,
-    /// How long a gateway's lease lasts.
+    /// The duration of a gateway's lease.
     pub lease_ms: u64,
-    /// Entries between two snapshots.
+    /// The number of log entries between two snapshots.
     pub snapshot_entries: u64,
-    /// Bounds of the run ledger.
+    /// Limits of the run ledger, which makes calls that must not be repeated run at most once.
     pub ledger: LedgerLimits,
-    /// What the weight store allows.
+    /// Limits on loads from the weight store.
     pub store: StoreBudget,
-    /// Where the platform lists its instances.
+    /// The address at which the platform serves its list of instances, if it has one.
     pub platform_address: Option<SocketAddr>,
-    /// How often the list is read.
+    /// The interval between two reads of the list.
     pub platform_poll_ms: u64,
     /// The pools of endpoints.
     pub pools: Vec<PoolSettings>,
-    /// How the group is found where `replicas` are not named.
+    /// How the replica finds its group; `None` if the settings name all replicas.
     pub seeds: Option<SeedSettings>,
-    /// Where endpoints and operators of a platform call, if there is one.
+    /// The listener for endpoints and operators of a platform, if there is one.
     pub listen_api: Option<SocketAddr>,
-    /// Bounds of orders to engines.
+    /// Limits on orders to engines and on loads from the weight store.
     pub placement: PlacementSettings,
-    /// What is allowed above the quotas of workspaces.
+    /// How far workspaces may exceed their quotas.
     pub quota: QuotaBounds,
-    /// How long a new group waits for all its voters before it takes a configuration.
+    /// How long a new group waits for its target number of voters before it accepts a routing
+    /// configuration.
     pub founding_wait_ms: u64,
 }
 
-/// How a replica finds its group when only some of the replicas are known beforehand.
+/// How a replica finds its group if only some of the replicas are known in advance.
 #[derive(Debug, Clone)]
 pub struct SeedSettings {
-    /// True at the first start of the whole system; only then a group may be founded.
+    /// True at the first start of the whole system, which is the only time a group may be founded.
     pub found: bool,
-    /// How many voters the group should have.
+    /// The target number of voters in the group.
     pub voters: usize,
 }
 
-/// Bounds on what callers may send.
+/// Limits on requests of callers to a gateway.
 #[derive(Debug, Clone, Copy)]
 pub struct CallerLimits {
-    /// The largest request body.
+    /// The maximum size of a request body.
     pub body_max_bytes: usize,
-    /// The largest set of request headers.
+    /// The maximum size of a request's headers.
     pub header_max_bytes: usize,
     /// The longest time for the headers to arrive.
     pub header_timeout_ms: u64,
     /// The longest time for the body to arrive.
     pub body_timeout_ms: u64,
-    /// Requests in progress at one gateway.
+    /// The maximum number of requests in progress.
     pub concurrent_requests: usize,
-    /// Connections at one gateway.
+    /// The maximum number of connections.
     pub connections: usize,
-    /// The largest answer that the run ledger keeps.
+    /// The maximum size of an answer that the run ledger keeps.
     pub recorded_answer_max_bytes: usize,
-    /// How long a retry of a call in progress waits for its outcome.
+    /// How long a retry of a call that is in progress waits for the call's outcome.
     pub in_progress_wait_ms: u64,
 }
 
-/// The gateway's own lease and freshness.
+/// The lease of a gateway and the freshness of its configuration.
 #[derive(Debug, Clone, Copy)]
 pub struct LeaseSettings {
-    /// How often the lease is renewed.
+    /// The interval between renewals of the lease.
     pub renew_ms: u64,
-    /// How long control keeps the lease; the same value as `lease_ms` of control.
+    /// The duration of the lease at control; must equal `lease_ms` in the settings of control.
     pub lease_ms: u64,
-    /// How much earlier the gateway itself holds the lease for ended.
+    /// How much earlier than control the gateway regards the lease as expired.
     pub margin_ms: u64,
-    /// How long requests are admitted after the last confirmation of the configuration.
+    /// How long requests are admitted after the configuration was last confirmed.
     pub freshness_ms: u64,
 }
 
-/// Retries on other endpoints.
+/// Limits on retries at other endpoints.
 #[derive(Debug, Clone, Copy)]
 pub struct RetrySettings {
-    /// The most endpoints tried for one request.
+    /// The maximum number of endpoints tried for a request.
     pub attempts: u32,
-    /// Retries allowed for each first attempt, over time.
+    /// The number of retries allowed for each first attempt, on average.
     pub budget_ratio: f64,
-    /// Retries allowed in a burst.
+    /// The number of retries allowed in a burst.
     pub budget_burst: f64,
 }
 
-/// The placement and queueing policy.
+/// The policy of placement and queueing.
 #[derive(Debug, Clone, Copy)]
 pub struct PolicySettings {
-    /// How much a wait for a load weighs.
+    /// The weight of the time spent waiting for a load.
     pub load_stall_weight: f64,
-    /// How much an empty place in an engine's batch weighs.
+    /// The weight of an empty place in an engine's batch.
     pub batch_efficiency_weight: f64,
-    /// Requests that may wait for one endpoint.
+    /// The maximum number of requests waiting for an endpoint.
     pub queue_max: usize,
-    /// The share of that queue that one workspace may take.
+    /// The fraction of `queue_max` that one workspace may take once the queue is half full.
     pub workspace_share: f64,
-    /// The wait after which a request counts as one priority higher.
+    /// The waiting time that counts as much as one level of priority.
     pub aging_ms: u64,
-    /// Loads that one engine may have under way.
+    /// The maximum number of concurrent loads of an engine.
     pub loads_at_once: usize,
-    /// The longest wait for a load, by what loads took of late, at which a request that needs one
-    /// more is still taken.
+    /// The maximum wait for a load, estimated from recent loads; above it, a request that needs another
+    /// load is refused.
     pub load_wait_max_ms: u64,
-    /// How long a load takes, before any was seen.
+    /// The estimated duration of a load until one has been observed.
     pub load_estimate_ms: u64,
-    /// How long a request runs, before any was seen.
+    /// The estimated duration of a request until one has been observed.
     pub service_estimate_ms: u64,
-    /// The time in which an adapter's popularity halves.
+    /// The half-life of an adapter's popularity.
     pub popularity_half_life_ms: u64,
-    /// How many endpoints are weighed for an adapter that is loaded nowhere.
+    /// The number of endpoints considered for loading an adapter.
     pub homes: usize,
-    /// True when a busy adapter may be loaded at a second endpoint.
+    /// True if an adapter whose endpoints are busy may be loaded at another one.
     pub second_place: bool,
-    /// True when the loads that most requests wait for go first.
+    /// True if loads are ordered by the number, priority and wait of their requests; otherwise the load
+    /// of the longest-waiting request is first.
     pub loads_by_urgency: bool,
 }
 
@@ -209,52 +211,53 @@
     }
 }
 
-/// Waits on endpoints.
+/// Timeouts and health checks of endpoints.
 #[derive(Debug, Clone, Copy)]
 pub struct EndpointSettings {
     /// The longest time to connect.
     pub connect_timeout_ms: u64,
-    /// How often the status is read.
+    /// The interval between two reads of the status.
     pub status_poll_ms: u64,
-    /// The longest time for a status.
+    /// The longest time to read the status.
     pub status_timeout_ms: u64,
-    /// Failed status reads until the endpoint counts as down.
+    /// The number of failed status reads in a row after which the endpoint counts as down.
     pub failures_to_down: u32,
-    /// The longest time for a load.
+    /// The longest duration of a load.
     pub load_timeout_ms: u64,
-    /// The longest time between two parts of an answer.
+    /// The longest pause between two parts of an answer.
     pub idle_timeout_ms: u64,
 }
 
 /// Settings of `winchvane-gateway`.
 #[derive(Debug, Clone)]
 pub struct GatewaySettings {
-    /// What every process has.
-    pub common: Common,
-    /// Where callers' HTTP is taken.
+    /// Settings shared with control.
+    pub common: CommonSettings,
+    /// The HTTP listener for callers.
     pub listen_callers: SocketAddr,
-    /// The replicas of control.
+    /// The addresses of control's replicas.
     pub control: Vec<SocketAddr>,
-    /// Bounds on what callers may send.
+    /// Limits on requests of callers.
     pub limits: CallerLimits,
-    /// Lease and freshness.
+    /// The lease and the freshness of the configuration.
     pub lease: LeaseSettings,
-    /// Retries on other endpoints.
+    /// Limits on retries at other endpoints.
     pub retry: RetrySettings,
-    /// Placement and queueing.
+    /// The policy of placement and queueing.
     pub policy: PolicySettings,
-    /// Waits on endpoints.
+    /// Timeouts and health checks of endpoints.
     pub endpoints: EndpointSettings,
-    /// The longest wait for requests in progress at a planned stop.
+    /// How long a planned stop waits for requests in progress.
     pub stop_timeout_ms: u64,
-    /// How long calls are still taken at a planned stop, until the balancer looks elsewhere.
+    /// How long requests are still accepted after a planned stop began, until the load balancer has
+    /// noticed it.
     pub stop_grace_ms: u64,
 }
 
-/// Reads a file with `parse`.
+/// Reads the file at `path` and parses it with `parse`.
 ///
 /// # Errors
-/// Every fault of the file; a file that cannot be read is one fault.
+/// All faults of the file; a file that cannot be read is one fault.
 pub fn load<T>(
     path: &Path,
     parse: fn(&Arc<str>, &str) -> Result<T, Vec<Fault>>,
@@ -270,29 +273,29 @@
     }
 }
 
-impl Common {
-    /// Where other processes of the system reach this one.
+impl CommonSettings {
+    /// The address at which other processes of the system reach this one.
     pub fn peers_address(&self) -> SocketAddr {
         self.advertise_peers.unwrap_or(self.listen_peers)
     }
 }
 
 impl ControlSettings {
-    /// Reads and checks settings.
+    /// Parses and checks settings.
     ///
     /// # Errors
-    /// Every fault of the text.
+    /// All faults of the text.
     pub fn parse(file: &Arc<str>, text: &str) -> Result<Self, Vec<Fault>> {
-        parse_with(file, text, read_control)
+        parse_settings(file, text, read_control)
     }
 }
 
 impl GatewaySettings {
-    /// Reads and checks settings.
+    /// Parses and checks settings.
     ///
     /// # Errors
-    /// Every fault of the text.
+    /// All faults of the text.
     pub fn parse(file: &Arc<str>, text: &str) -> Result<Self, Vec<Fault>> {
-        parse_with(file, text, read_gateway)
+        parse_settings(file, text, read_gateway)
     }
 }
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -1,26 +1,29 @@
-//! Reading settings field by field, with every fault noted.
+//! Reads the fields of a settings file one by one and collects all faults.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use crate::document::is_name;
-use crate::settings::Common;
-use crate::yaml::{Fault, Faults, Node, Source};
+use crate::settings::CommonSettings;
+use crate::yaml::{Fault, Faults, Node, ParsedFile};
 
-pub(super) fn parse_with<T>(
+/// Parses a file with a single document and reads the document with `read`; returns the faults if there
+/// are any.
+pub(super) fn parse_settings<T>(
     file: &Arc<str>,
     text: &str,
     read: fn(&Node<'_>, &mut Faults) -> Option<T>,
 ) -> Result<T, Vec<Fault>> {
     let mut faults = Faults::new();
-    let source = Source::parse(file, text, &mut faults);
-    let roots = source.roots();
+    let parsed = ParsedFile::parse(file, text, &mut faults);
+    let roots = parsed.roots();
     let mut settings = None;
     if let [root] = roots.as_slice() {
         settings = read(root, &mut faults);
     } else if faults.is_empty() {
-        faults.add_file(file, 1, "expected one document with settings");
+        let detail = format!("expected one document with settings, found {}", roots.len());
+        faults.add_file(file, 1, detail);
     }
     match settings {
         Some(settings) if faults.is_empty() => Ok(settings),
@@ -28,22 +31,23 @@
     }
 }
 
-/// Hands out the fields of a mapping, and at the end complains of those that nobody asked for.
-pub(super) struct Fields<'a, 'f> {
+/// Reads the fields of a mapping by name; [`FieldReader::finish`] reports the fields that were not read.
+pub(super) struct FieldReader<'a, 'f> {
     pub(super) node: Node<'a>,
     found: Vec<(String, Node<'a>)>,
-    asked: BTreeSet<&'static str>,
+    /// The names read so far, whether the mapping has them or not.
+    known: BTreeSet<&'static str>,
     pub(super) faults: &'f mut Faults,
 }
 
-impl<'a, 'f> Fields<'a, 'f> {
+impl<'a, 'f> FieldReader<'a, 'f> {
     pub(super) fn new(node: &Node<'a>, faults: &'f mut Faults) -> Self {
         let found = node.fields(faults);
-        Self { node: node.clone(), found, asked: BTreeSet::new(), faults }
+        Self { node: node.clone(), found, known: BTreeSet::new(), faults }
     }
 
     pub(super) fn optional(&mut self, name: &'static str) -> Option<Node<'a>> {
-        self.asked.insert(name);
+        self.known.insert(name);
         self.found.iter().find(|(found, _)| found == name).map(|(_, node)| node.clone())
     }
 
@@ -60,7 +64,7 @@
         let node = self.required(name, "a name")?;
         let text = node.text(self.faults)?;
         if !is_name(&text) {
-            self.faults.add(&node, format!("\"{text}\" is not a name"));
+            self.faults.add(&node, format!("\"{text}\" is not a valid name"));
             return None;
         }
         Some(text)
@@ -122,24 +126,26 @@
         read_address(&node, self.faults)
     }
 
-    /// Reads a nested mapping; one that is absent reads like an empty one.
+    /// Reads a nested mapping with `read`. If the field is absent, returns `default`, which must be the
+    /// value read from an empty mapping.
     pub(super) fn section<T>(
         &mut self,
         name: &'static str,
         default: T,
-        read: impl FnOnce(&mut Fields<'_, '_>) -> T,
+        read: impl FnOnce(&mut FieldReader<'_, '_>) -> T,
     ) -> T {
         let Some(node) = self.optional(name) else { return default };
-        let mut fields = Fields::new(&node, self.faults);
+        let mut fields = FieldReader::new(&node, self.faults);
         let value = read(&mut fields);
         fields.finish();
         value
     }
 
+    /// Reports the fields of the mapping that were not read.
     pub(super) fn finish(self) {
-        let known: Vec<&str> = self.asked.iter().copied().collect();
+        let known: Vec<&str> = self.known.iter().copied().collect();
         for (name, node) in &self.found {
-            if self.asked.contains(name.as_str()) {
+            if self.known.contains(name.as_str()) {
                 continue;
             }
             let expected = known.join(", ");
@@ -158,7 +164,7 @@
     Some(address)
 }
 
-pub(super) fn read_common(fields: &mut Fields<'_, '_>) -> Option<Common> {
+pub(super) fn read_common(fields: &mut FieldReader<'_, '_>) -> Option<CommonSettings> {
     let name = fields.name("name");
     let zone = fields.name("zone");
     let listen_peers = fields.address("listen_peers");
@@ -167,7 +173,7 @@
     let log_level = fields.text_or("log_level", "info");
     let metrics_address = fields.optional_address("metrics_address");
     let metrics_prefix = fields.text_or("metrics_prefix", "winchvane");
-    Some(Common {
+    Some(CommonSettings {
         name: name?,
         zone: zone?,
         listen_peers: listen_peers?,
@@ -179,7 +185,7 @@
     })
 }
 
-/// Complains of two listeners on one port.
+/// Reports listeners that use the same port; port 0 is chosen by the system and never the same.
 pub(super) fn check_ports(node: &Node<'_>, listeners: &[(&str, SocketAddr)], faults: &mut Faults) {
     for (position, (name, address)) in listeners.iter().enumerate() {
         for (other_name, other) in &listeners[..position] {
--- a/src/settings/relay.rs
+++ b/src/settings/relay.rs
@@ -1,9 +1,9 @@
-//! Reading the settings of a relay.
+//! Defines and reads the settings of a relay (`winchvane-platform-gateway`).
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use crate::settings::reader::{Fields, check_ports, parse_with, read_address};
+use crate::settings::reader::{FieldReader, check_ports, parse_settings, read_address};
 use crate::yaml::{Fault, Faults, Node};
 
 /// The settings of a relay.
@@ -11,58 +11,58 @@
 pub struct RelaySettings {
     /// The instance's name.
     pub name: Arc<str>,
-    /// Its availability zone.
+    /// The availability zone.
     pub zone: Arc<str>,
-    /// Where clients call.
+    /// The listener for clients.
     pub listen_clients: SocketAddr,
-    /// Where health checks call.
+    /// The listener for health checks.
     pub listen_ready: SocketAddr,
-    /// Where operators ask for the state dump.
+    /// The listener for requests of operators, such as state dumps.
     pub listen_admin: SocketAddr,
-    /// Some of control's replicas.
+    /// The addresses of some of control's replicas.
     pub seeds: Vec<SocketAddr>,
-    /// The bounds of sends beyond the first.
+    /// Limits on retries.
     pub retry: RelayRetrySettings,
-    /// How long after a version of weights was replaced requests may begin on it.
+    /// How long after a version of weights was replaced requests may still start on it.
     pub version_within_ms: u64,
-    /// How long after a key was taken away requests with it may still be taken in, by gateways that are cut off
-    /// too; none is no bound.
+    /// How long after an API key was revoked requests with it may still be accepted, also by gateways
+    /// that are disconnected from control; `None` for no limit.
     pub revoked_within_ms: Option<u64>,
-    /// The largest set of headers.
+    /// The maximum size of a request's headers.
     pub header_max_bytes: usize,
-    /// How long after a planned stop began the process may still run.
+    /// How long the process may still run after a planned stop began.
     pub stop_grace_ms: u64,
-    /// What is logged.
+    /// The initial log level.
     pub log_level: Arc<str>,
-    /// Where metrics are sent, if anywhere.
+    /// The address to which metrics are sent; `None` to send none.
     pub metrics_address: Option<SocketAddr>,
-    /// The beginning of their names.
+    /// The prefix of every metric's name.
     pub metrics_prefix: Arc<str>,
 }
 
-/// Sends beyond the first of each request, over all gateways.
+/// Limits on retries, counted over all gateways.
 #[derive(Debug, Clone, Copy)]
 pub struct RelayRetrySettings {
-    /// How many for each request.
+    /// The number of retries allowed for each request.
     pub ratio: f64,
-    /// How many more in each window.
+    /// The number of retries allowed in each window in addition.
     pub slack: f64,
-    /// The window.
+    /// The length of the window.
     pub window_ms: u64,
 }
 
 impl RelaySettings {
-    /// Reads the settings of a relay.
+    /// Parses and checks settings.
     ///
     /// # Errors
-    /// Every fault that was found.
+    /// All faults of the text.
     pub fn parse(file: &Arc<str>, text: &str) -> Result<Self, Vec<Fault>> {
-        parse_with(file, text, read_relay)
+        parse_settings(file, text, read_relay)
     }
 }
 
 fn read_relay(root: &Node<'_>, faults: &mut Faults) -> Option<RelaySettings> {
-    let mut fields = Fields::new(root, faults);
+    let mut fields = FieldReader::new(root, faults);
     let name = fields.name("name");
     let zone = fields.name("zone");
     let listen_clients = fields.address("listen_clients");
@@ -115,12 +115,12 @@
     RelayRetrySettings { ratio: 0.2, slack: 20.0, window_ms: 10_000 }
 }
 
-fn read_seeds(fields: &mut Fields<'_, '_>) -> Vec<SocketAddr> {
+fn read_seeds(fields: &mut FieldReader<'_, '_>) -> Vec<SocketAddr> {
     let mut addresses = Vec::new();
     let Some(node) = fields.required("seeds", "a mapping with addresses and peer_port") else {
         return addresses;
     };
-    let mut seeds = Fields::new(&node, fields.faults);
+    let mut seeds = FieldReader::new(&node, fields.faults);
     let peer_port = seeds.int_or("peer_port", 0, 0..=65_535) as u16;
     if let Some(list) = seeds.required("addresses", "a list of addresses") {
         for item in list.items(seeds.faults) {
@@ -131,7 +131,7 @@
             addresses.push(address);
         }
         if addresses.is_empty() {
-            seeds.faults.add(&list, "expected one address at least");
+            seeds.faults.add(&list, "expected at least one address");
         }
     }
     seeds.finish();
--- a/src/yaml.rs
+++ b/src/yaml.rs
@@ -1,4 +1,5 @@
-//! Reading YAML so that every fault names its file, line, field and what was expected.
+//! Parses YAML files and reads typed values from them, and reports each error with its file, line,
+//! field and expected value.
 
 use std::fmt;
 use std::sync::Arc;
@@ -7,23 +8,23 @@
 
 use crate::nesting::{LEVELS_MAX, line_nested_too_deeply};
 
-/// How far a line may be indented, marks of lists and keys included. Each level of a block stands
-/// further in, and the library reads levels by recursion: a thread's stack holds some thousand. Files
-/// of operators need some ten columns.
+/// The maximum indentation of a line, including the indicators of lists and keys. Each nested block is
+/// indented further, and the YAML library parses blocks by recursion: the stack of a thread holds some
+/// thousand levels. Files written by operators need about ten columns.
 const INDENT_MAX_COLUMNS: usize = 256;
-/// What can stand before the text of a line and open levels.
-const INDENT_MARKS: [char; 5] = [' ', '\t', '-', '?', ':'];
+/// The characters that may precede the text of a line and open blocks.
+const INDENT_CHARS: [char; 5] = [' ', '\t', '-', '?', ':'];
 
-/// One fault of an input file.
+/// An error in an input file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
-    /// The file as the operator named it.
+    /// The path of the file as the operator gave it.
     pub file: Arc<str>,
-    /// The line, counted from 1.
+    /// The line, counted from 1; 0 if the file has not been read.
     pub line: usize,
-    /// The dotted path of the field; empty for the whole document.
+    /// The dotted path of the field; empty if the fault concerns the whole document.
     pub field: String,
-    /// What is wrong and what was expected.
+    /// The problem and the expected value.
     pub detail: String,
 }
 
@@ -37,17 +38,17 @@
     }
 }
 
-/// The faults found so far; reading goes on after a fault so that all are listed at once.
+/// A list of faults. Reading continues after a fault, so that a single run reports all of them.
 #[derive(Debug, Default)]
 pub struct Faults(Vec<Fault>);
 
 impl Faults {
-    /// An empty list.
+    /// Creates an empty list.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds a fault at the place of `node`.
+    /// Adds a fault at the position of `node`.
     pub fn add(&mut self, node: &Node<'_>, detail: impl Into<String>) {
         self.0.push(Fault {
             file: node.file.clone(),
@@ -57,34 +58,36 @@
         });
     }
 
-    /// Adds a fault of a whole file.
+    /// Adds a fault that does not belong to a single field.
     pub fn add_file(&mut self, file: &Arc<str>, line: usize, detail: impl Into<String>) {
         let field = String::new();
         self.0.push(Fault { file: file.clone(), line, field, detail: detail.into() });
     }
 
-    /// True when no fault was found.
+    /// True if no fault was added.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// The faults in the order in which they were found.
+    /// Returns the faults in the order in which they were added.
     pub fn into_vec(self) -> Vec<Fault> {
         self.0
     }
 }
 
-/// The documents of one file, parsed.
-pub struct Source<'a> {
+/// The parsed documents of a file.
+pub struct ParsedFile<'a> {
     file: Arc<str>,
     documents: Vec<MarkedYaml<'a>>,
 }
 
-impl<'a> Source<'a> {
-    /// Parses `text`; a syntax error or too many levels become a fault and yield no document.
+impl<'a> ParsedFile<'a> {
+    /// Parses `text`. A syntax error or nesting that is too deep is added to `faults`, and the file then
+    /// has no documents.
     pub fn parse(file: &Arc<str>, text: &'a str, faults: &mut Faults) -> Self {
-        if let Some(line) = too_deep(text) {
-            let detail = format!("nested too deeply: more than {INDENT_MAX_COLUMNS} columns");
+        if let Some(line) = line_indented_too_far(text) {
+            let detail =
+                format!("nested too deeply: indented by more than {INDENT_MAX_COLUMNS} columns");
             faults.add_file(file, line, detail);
             return Self { file: file.clone(), documents: Vec::new() };
         }
@@ -106,7 +109,7 @@
         Self { file: file.clone(), documents }
     }
 
-    /// The root node of each document that is not empty.
+    /// The root nodes of the documents that are not empty.
     pub fn roots(&self) -> Vec<Node<'_>> {
         let mut roots = Vec::new();
         for yaml in &self.documents {
@@ -119,28 +122,29 @@
     }
 }
 
-/// The first line, counted from 1, that is indented too far.
-fn too_deep(text: &str) -> Option<usize> {
-    let is_too_deep = |line: &str| {
-        let indent = line.chars().take_while(|mark| INDENT_MARKS.contains(mark));
+/// The first line, counted from 1, that is indented by more than [`INDENT_MAX_COLUMNS`].
+fn line_indented_too_far(text: &str) -> Option<usize> {
+    let is_indented_too_far = |line: &str| {
+        let indent = line.chars().take_while(|character| INDENT_CHARS.contains(character));
         indent.take(INDENT_MAX_COLUMNS + 1).count() > INDENT_MAX_COLUMNS
     };
-    // YAML ends lines at a carriage return too.
-    let position = text.split('\n').position(|line| line.split('\r').any(is_too_deep))?;
+    // A carriage return also ends a line in YAML.
+    let position = text.split('\n').position(|line| line.split('\r').any(is_indented_too_far))?;
     Some(position + 1)
 }
 
-/// One node of a document together with its place.
+/// A node of a document with its position.
 #[derive(Clone)]
 pub struct Node<'a> {
     file: Arc<str>,
     path: String,
+    /// The line of the field name or list item; `None` for a root node.
     line: Option<usize>,
     yaml: &'a MarkedYaml<'a>,
 }
 
 impl<'a> Node<'a> {
-    /// The line on which the node starts, counted from 1.
+    /// The line of the node, counted from 1; for a field, the line of its name.
     pub fn line(&self) -> usize {
         self.line.unwrap_or_else(|| self.yaml.span.start.line())
     }
@@ -151,7 +155,7 @@
         Node { file: self.file.clone(), path, line: Some(line), yaml }
     }
 
-    /// The fields of a mapping; a fault and nothing when the node is something else.
+    /// The fields of a mapping. If the node is not a mapping, a fault is added and the result is empty.
     pub fn fields(&self, faults: &mut Faults) -> Vec<(String, Node<'a>)> {
         let YamlData::Mapping(mapping) = &self.yaml.data else {
             faults.add(self, format!("expected a mapping, found {}", self.describe()));
@@ -159,8 +163,8 @@
         };
         let mut fields = Vec::with_capacity(mapping.len());
         for (key, value) in mapping {
-            let Some(name) = scalar_text(key) else {
-                faults.add(self, "expected a field name, found a nested value");
+            let Some(name) = key_text(key) else {
+                faults.add(self, "expected a text, an integer or a boolean as field name");
                 continue;
             };
             let child = self.child(&name, key.span.start.line(), value);
@@ -169,7 +173,7 @@
         fields
     }
 
-    /// The items of a sequence; a fault and nothing when the node is something else.
+    /// The items of a list. If the node is not a list, a fault is added and the result is empty.
     pub fn items(&self, faults: &mut Faults) -> Vec<Node<'a>> {
         let YamlData::Sequence(sequence) = &self.yaml.data else {
             faults.add(self, format!("expected a list, found {}", self.describe()));
@@ -182,7 +186,7 @@
         items
     }
 
-    /// The scalar of this node, if it is one.
+    /// The scalar value of the node; `None` for a mapping, a list or null.
     pub fn value(&self) -> Option<Value> {
         match &self.yaml.data {
             YamlData::Value(Scalar::Boolean(value)) => Some(Value::Bool(*value)),
@@ -193,7 +197,7 @@
         }
     }
 
-    /// What the node is, for messages.
+    /// Describes the content of the node for error messages.
     pub fn describe(&self) -> String {
         match (&self.yaml.data, self.value()) {
             (_, Some(Value::Bool(value))) => format!("the boolean {value}"),
@@ -206,7 +210,7 @@
         }
     }
 
-    /// A text; a fault when the node is something else.
+    /// The text of the node. If the node is not a text, a fault is added.
     pub fn text(&self, faults: &mut Faults) -> Option<Arc<str>> {
         let Some(Value::Text(text)) = self.value() else {
             faults.add(self, format!("expected a text, found {}", self.describe()));
@@ -215,7 +219,7 @@
         Some(text)
     }
 
-    /// An integer within `range`; a fault when the node is something else.
+    /// The integer of the node. If the node is not an integer in `range`, a fault is added.
     pub fn int(&self, range: std::ops::RangeInclusive<u64>, faults: &mut Faults) -> Option<u64> {
         if let Some(Value::Int(value)) = self.value()
             && let Ok(value) = u64::try_from(value)
@@ -229,7 +233,7 @@
         None
     }
 
-    /// A number within `range`; a fault when the node is something else.
+    /// The number of the node. If the node is not a number in `range`, a fault is added.
     pub fn number(&self, range: std::ops::RangeInclusive<f64>, faults: &mut Faults) -> Option<f64> {
         let value = match self.value() {
             Some(Value::Int(value)) => Some(value as f64),
@@ -245,7 +249,7 @@
         None
     }
 
-    /// A boolean; a fault when the node is something else.
+    /// The boolean of the node. If the node is not a boolean, a fault is added.
     pub fn bool(&self, faults: &mut Faults) -> Option<bool> {
         let Some(Value::Bool(value)) = self.value() else {
             faults.add(self, format!("expected true or false, found {}", self.describe()));
@@ -254,7 +258,8 @@
         Some(value)
     }
 
-    /// A list of texts.
+    /// The texts of a list. A fault is added if the node is not a list and for each item that is not a
+    /// text.
     pub fn texts(&self, faults: &mut Faults) -> Vec<Arc<str>> {
         let mut texts = Vec::new();
         for item in self.items(faults) {
@@ -265,21 +270,22 @@
     }
 }
 
-/// A scalar of a document.
+/// A scalar value of a document.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Value {
     /// `true` or `false`.
     Bool(bool),
-    /// A whole number.
+    /// An integer.
     Int(i64),
-    /// A number with a fraction.
+    /// A floating-point number.
     Float(f64),
-    /// Anything else.
+    /// Any other scalar except null.
     Text(Arc<str>),
 }
 
-fn scalar_text(yaml: &MarkedYaml<'_>) -> Option<String> {
-    match &yaml.data {
+/// The name of a field; `None` if the key is null, a floating-point number or nested.
+fn key_text(key: &MarkedYaml<'_>) -> Option<String> {
+    match &key.data {
         YamlData::Value(Scalar::String(text)) => Some(text.to_string()),
         YamlData::Value(Scalar::Integer(value)) => Some(value.to_string()),
         YamlData::Value(Scalar::Boolean(value)) => Some(value.to_string()),
--- a/tests/declarations.rs
+++ b/tests/declarations.rs
@@ -1,4 +1,5 @@
-//! What operators write: every mistake is named with file, line, field and what was expected.
+//! Declarations of operators: each mistake is reported with file, line, field and expected value, and
+//! a set of declarations is applied as a whole or not at all.
 
 use std::sync::Arc;
 
@@ -58,7 +59,7 @@
     unknown_parameter = { "kind: Template\nname: a\nversion: 1\npool: p\nservice:\n  adapter: $adapter\n", "d.yaml:6: service.adapter: no parameter is named \"adapter\"; known: none" },
     bad_default = { "kind: Template\nname: a\nversion: 1\npool: p\nparameters:\n  n: {type: integer, default: x}\nservice: {}\n", "d.yaml:6: parameters.n.default: expected an integer, found the text \"x\"" },
 )]
-fn mistakes_are_named(text: &str, expected: &str) {
+fn mistakes_are_reported_with_their_position(text: &str, expected: &str) {
     let faults = faults_of(text);
     assert!(faults.iter().any(|fault| fault.starts_with(expected)), "{faults:#?}");
 }
@@ -82,13 +83,13 @@
 }
 
 #[test]
-fn the_same_name_twice_is_a_mistake() {
+fn duplicate_names_are_reported() {
     let faults = faults_of(&format!("{TEMPLATE}---\n{TEMPLATE}"));
     assert_eq!(faults, ["d.yaml:14: template \"quote\" is already declared at d.yaml:1"]);
 }
 
 #[test]
-fn a_declaration_that_was_printed_reads_the_same() {
+fn printed_declarations_are_read_unchanged() {
     let documents = read(&format!("{TEMPLATE}---\n{SERVICE}"));
     let mut text = String::new();
     for document in &documents {
@@ -126,7 +127,7 @@
 }
 
 #[test]
-fn a_template_that_would_break_its_services_is_refused_whole() {
+fn a_set_with_a_template_that_breaks_its_services_is_refused() {
     let mut config = Config::default();
     config.apply(1, read(&format!("{TEMPLATE}---\n{SERVICE}")), false);
     let broken = "kind: Template\nname: quote\nversion: 2\npool: p\nservice: {}\n";
@@ -135,7 +136,7 @@
     assert!(!reply.accepted);
     assert!(changes.is_empty());
     assert!(matches!(&reply.verdicts[0].verdict, Verdict::Invalid { .. }));
-    assert_eq!(config.services().len(), 1, "nothing of a refused set is in force");
+    assert_eq!(config.services().len(), 1, "no declaration of a refused set takes effect");
 }
 
 #[test]
@@ -146,11 +147,11 @@
     let (_, changes) = config.apply(2, read(&retired), false);
     assert!(matches!(changes.as_slice(), [Change::ServiceRetired(_)]));
     let (reply, _) = config.apply(3, read(SERVICE), false);
-    assert!(!reply.accepted, "an old version does not bring it back");
+    assert!(!reply.accepted, "an old version does not restore the service");
 }
 
 #[test]
-fn rendering_fills_defaults_in() {
+fn rendering_applies_defaults() {
     let documents = read(&format!("{TEMPLATE}---\n{SERVICE}"));
     let [Document::Template(template), Document::Service(service)] = documents.as_slice() else {
         panic!("{documents:?}")
--- a/tests/fuzz_documents.rs
+++ b/tests/fuzz_documents.rs
@@ -1,5 +1,5 @@
-//! Declarations, settings and routes with arbitrary content: mistakes are told with their place, and
-//! what is valid is read as it was written.
+//! Declarations, settings and routes with arbitrary content: mistakes are reported with their position,
+//! and valid content is read as it was written.
 
 #[path = "common/fuzz.rs"]
 mod fuzz;
@@ -24,9 +24,9 @@
 use winchvane::settings::{ControlSettings, GatewaySettings, RelaySettings};
 use winchvane::yaml::{Fault, Faults};
 
-/// Parts of a prompt that are looked at.
+/// The number of parts of a prompt that are considered.
 const PARTS_MAX: usize = 64;
-/// The least that a part counts as.
+/// The smallest number of tokens that a part counts as.
 const PART_TOKENS_MIN: u64 = 16;
 
 const DECLARATIONS: &str = "\
@@ -51,7 +51,7 @@
 parameters: {adapter: shop}
 ";
 
-/// Pieces that mean something in YAML, or in declarations.
+/// Fragments that have a meaning in YAML or in declarations.
 const PIECES: [&str; 32] = [
     "kind: ",
     "Template",
@@ -87,7 +87,7 @@
     "~",
 ];
 
-/// Texts that would be something else if they stood without quotes.
+/// Texts that YAML reads differently without quotes.
 const SPECIAL: &[&str] =
     &["true", "~", "null", "1", "1e3", ".inf", "-", "", " a", "a: b", "#", "'", "\"", "$a"];
 
@@ -99,7 +99,7 @@
     vec(piece, 0..60).prop_map(|pieces| pieces.concat())
 }
 
-/// `text` with some places replaced by pieces.
+/// `text` with some ranges replaced by fragments.
 fn changed(text: &str, changes: &[(Index, usize, String)]) -> String {
     let mut letters: Vec<char> = text.chars().collect();
     for (at, removed, piece) in changes {
@@ -140,12 +140,12 @@
 }
 
 #[test]
-fn any_text_is_read_or_its_faults_are_told() {
+fn any_text_is_read_or_its_faults_are_reported() {
     check(prop_oneof![yaml(), "\\PC{0,80}"], |text| read_all(&text));
 }
 
 #[test]
-fn changed_declarations_are_read_or_their_faults_are_told() {
+fn changed_declarations_are_read_or_their_faults_are_reported() {
     check(changes(), |changes| read_all(&changed(DECLARATIONS, &changes)));
 }
 
@@ -181,19 +181,20 @@
 }
 
 #[test]
-fn a_service_written_out_is_read_as_it_was() {
+fn printed_services_are_read_unchanged() {
     check(service(), |service| {
         let document = Document::Service(service);
         let text = to_yaml(&to_declaration(&document));
         let mut faults = Faults::new();
-        let again = parse(&"d.yaml".into(), &text, &mut faults);
+        let parsed = parse(&"d.yaml".into(), &text, &mut faults);
         prop_assert!(faults.is_empty(), "{:?} of {}", faults.into_vec(), text);
-        prop_assert_eq!(&again[0].document, &document);
+        prop_assert_eq!(&parsed[0].document, &document);
         Ok(())
     });
 }
 
-/// Anchors that stand for each other must not be written out without a bound.
+/// Aliases within anchors must not be expanded without limit: here each anchor refers to the one before
+/// nine times.
 #[test]
 fn anchors_within_anchors_are_refused() {
     let mut text = "a0: &a0 [x, x, x, x, x, x, x, x, x]\n".to_owned();
@@ -277,21 +278,21 @@
 }
 
 #[test]
-fn what_is_kept_of_prompts_is_bounded() {
+fn the_prefix_cache_is_bounded() {
     let tokens = prop_oneof![Just(0), Just(u32::MAX), 0..100_u32];
     let part = (0..200_u64, tokens).prop_map(|(id, tokens)| PromptPart { id, tokens });
     let prompts = vec((vec(part, 0..100), "[ab]"), 0..20);
     check((prompts, 0..20_000_u64), |(prompts, capacity_tokens)| {
-        let mut kept = PrefixCache::new();
+        let mut cache = PrefixCache::new();
         for (parts, adapter) in prompts {
             let chain = PromptChain::new(&WeightsName::new("base", Some(&adapter)), &parts);
-            kept.note(&chain, capacity_tokens);
-            prop_assert!(kept.len() as u64 <= capacity_tokens / PART_TOKENS_MIN);
+            cache.note(&chain, capacity_tokens);
+            prop_assert!(cache.len() as u64 <= capacity_tokens / PART_TOKENS_MIN);
             let total: u64 = parts
                 .iter()
                 .take(PARTS_MAX)
                 .fold(0, |sum, part| sum + u64::from(part.tokens).max(PART_TOKENS_MIN));
-            prop_assert!(u64::from(kept.cached_tokens(&chain)) <= total);
+            prop_assert!(u64::from(cache.cached_tokens(&chain)) <= total);
             if let Some((_, shared_tokens)) = chain.shared() {
                 prop_assert!(u64::from(shared_tokens) <= total);
             }
@@ -300,8 +301,8 @@
     });
 }
 
-/// A file comes in whose lists stand within each other some ten thousand times, and the process is gone:
-/// each of them takes a part of the stack.
+/// Guards against a stack overflow: a file with some ten thousand nested lists ended the process, since
+/// each level is parsed by recursion.
 #[test]
 fn deep_nesting_of_documents_is_refused() {
     for text in ["- ".repeat(100_000), "? ".repeat(100_000)] {
@@ -312,7 +313,7 @@
 }
 
 #[test]
-fn nesting_that_is_allowed_is_survived() {
+fn nesting_up_to_the_limit_does_not_overflow_the_stack() {
     let mut lines = String::new();
     for column in 0..256 {
         let indent = " ".repeat(column);
@@ -325,14 +326,13 @@
     }
 }
 
-/// The same by anchors, each of which stands for some hundred lists around the one before it.
+/// Guards against a stack overflow by aliases: a file of 11 KB without an indented line ended `winchvane
+/// check` and the process that received the declaration.
 ///
-/// What users would see: `winchvane check`, or the process that takes a declaration, ends on a file of 11 KB
-/// with not one line indented.
-/// Order of events: a file has 28 anchors, each with 200 lists around an alias of the one before; it is read.
-/// Cause: the YAML library copies and drops nodes by recursion, and an alias nests them further than any line
-/// shows, 5,600 levels here; its loader's own limit can't be set.
-/// Evidence: before the file was read as events first, "thread has overflowed its stack" and signal 6, in debug.
+/// The file has 28 anchors, each with 200 lists around an alias of the one before, which nest 5,600
+/// levels. The YAML library copies and drops nodes by recursion, and the limit of its loader cannot be
+/// set. Before the file was first read as events, a debug build failed with "thread has overflowed its
+/// stack" and signal 6.
 #[test]
 fn deep_nesting_by_anchors_is_survived() {
     let mut text = format!("a0: &a0 {}{}\n", "[".repeat(200), "]".repeat(200));
@@ -345,10 +345,10 @@
     assert!(documents.is_empty() && !faults.is_empty());
 }
 
-/// The fault stood at line 1 wherever the file nests too deeply, and an operator with a long file had to
-/// look for it.
+/// Guards against a wrong position: every file that nests too deeply was reported at line 1, so that
+/// operators had to search long files for the cause.
 #[test]
-fn the_line_that_nests_too_deeply_through_anchors_is_told() {
+fn the_line_that_nests_too_deeply_through_anchors_is_reported() {
     let levels = |inner: &str| format!("{}{inner}{}", "[".repeat(200), "]".repeat(200));
     let text = format!("first: 1\na: &a {}\nb: 2\nc: {}\nd: 3\n", levels(""), levels("*a"));
     let (documents, faults) = read(&text);
@@ -356,15 +356,15 @@
     assert_eq!(faults.iter().map(|fault| fault.line).collect::<Vec<_>>(), [4], "{faults:?}");
 }
 
-/// A client tells a part of a prompt again with another length, and the gateway's count of what an
-/// engine keeps falls below 0: the new length is noted and the count stays at the old one.
+/// Guards against a negative number of cached tokens: when a client sent a part of a prompt again with
+/// another length, the gateway recorded the new length but did not adjust the total for the engine.
 #[test]
-fn a_part_told_with_another_length_is_counted_anew() {
-    let mut kept = PrefixCache::new();
+fn a_part_sent_with_another_length_is_recounted() {
+    let mut cache = PrefixCache::new();
     let weights = WeightsName::new("base", None);
     for (id, tokens, capacity_tokens) in [(49, 0, 1_000), (49, 65, 1_000), (7, 0, 16), (8, 0, 16)] {
         let chain = PromptChain::new(&weights, &[PromptPart { id, tokens }]);
-        kept.note(&chain, capacity_tokens);
+        cache.note(&chain, capacity_tokens);
     }
-    assert_eq!(kept.len(), 1, "there is room for the last part alone");
+    assert_eq!(cache.len(), 1, "only the last part fits");
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Settings are checked whole: all faults at once, each with line, field and what was expected.
+//! Settings are fully checked: all faults are reported at once, each with line, field and expected
+//! value.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -23,7 +24,7 @@
 }
 
 #[test]
-fn the_least_settings_are_enough() {
+fn required_settings_are_sufficient() {
     assert_eq!(faults_of(GATEWAY), [""; 0]);
 }
 
@@ -35,7 +36,7 @@
     lease_too_short = { "lease: {renew_ms: 2000}", "g.yaml:7: lease: lease_ms must be at least twice renew_ms plus margin_ms" },
     bad_address = { "metrics_address: localhost", "g.yaml:7: metrics_address: expected an address such as" },
 )]
-fn faults_are_named(line: &str, expected: &str) {
+fn faults_of_a_gateway_are_reported(line: &str, expected: &str) {
     let faults = faults_of(&format!("{GATEWAY}{line}\n"));
     assert!(faults.len() == 1 && faults[0].starts_with(expected), "{faults:#?}");
 }
@@ -88,9 +89,10 @@
     control_range = { "placement: {store_share: 2}", "c.yaml:9: placement.store_share: expected a number from 0.01 to 1, found the integer 2" },
     control_pool = { "platform_address: 127.0.0.1:1\npools: [{name: a, kind: fast, checks_epoch: true}]", "c.yaml:10: pools.0.kind: expected" },
 )]
-fn faults_of_control_are_named(line: &str, expected: &str) {
+fn faults_of_control_are_reported(line: &str, expected: &str) {
     let text = format!("{CONTROL}{STORE}{REPLICAS}{line}\n");
-    let faults = ControlSettings::parse(&"c.yaml".into(), &text).expect_err("it is refused");
+    let faults =
+        ControlSettings::parse(&"c.yaml".into(), &text).expect_err("the settings are refused");
     assert!(faults.len() == 1 && faults[0].to_string().starts_with(expected), "{faults:#?}");
 }
 
@@ -99,9 +101,10 @@
     range = { "retry: {window_ms: 1}", "r.yaml:7: retry.window_ms: expected an integer from 100 to 3600000, found the integer 1" },
     port = { "metrics_address: nowhere", "r.yaml:7: metrics_address: expected an address such as" },
 )]
-fn faults_of_a_relay_are_named(line: &str, expected: &str) {
+fn faults_of_a_relay_are_reported(line: &str, expected: &str) {
     let text = format!("{RELAY}{SEEDS}{line}\n");
-    let faults = RelaySettings::parse(&"r.yaml".into(), &text).expect_err("it is refused");
+    let faults =
+        RelaySettings::parse(&"r.yaml".into(), &text).expect_err("the settings are refused");
     assert!(faults.len() == 1 && faults[0].to_string().starts_with(expected), "{faults:#?}");
 }
 
@@ -116,7 +119,7 @@
     found.unwrap_or_else(|| panic!("docs/SETTINGS.md has no part {title}"))
 }
 
-/// Every setting that a process's reader knows stands in its part of the page for operators.
+/// Each setting that the code reads is documented in the part of docs/SETTINGS.md on its process.
 #[parameterized(
     shared = { "reader.rs", "Both processes" },
     control = { "control.rs", "winchvane-control" },
@@ -152,13 +155,14 @@
     assert!(checked > 3, "{checked} settings found in {file}");
 }
 
-/// Rows of a part of the page whose default is a value: section (empty: none), name, value.
+/// The settings in a part of the page whose default is a literal value, as section (empty for the top
+/// level), name and default.
 fn defaults(part: &str) -> Vec<(String, String, String)> {
     let mut section = String::new();
     let mut found = Vec::new();
     for line in part.lines() {
         if !line.starts_with('|') {
-            // "Retries, below `retry`:" stands before a table of its own.
+            // A line such as "Retries, below `retry`:" names the section of the table below it.
             if let Some((_, rest)) = line.split_once("below `") {
                 rest.split('`').next().unwrap_or_default().clone_into(&mut section);
             }
@@ -180,9 +184,9 @@
     found
 }
 
-/// `base` with the defaults that the page tells written out; `skipped` names a section to leave out,
-/// those with required fields get them.
-fn written_out(base: &str, rows: &[(String, String, String)], skipped: &str) -> String {
+/// `base` with the documented defaults appended, except those of the section `skipped`. Sections with
+/// required fields get these too.
+fn with_defaults(base: &str, rows: &[(String, String, String)], skipped: &str) -> String {
     let mut sections: BTreeMap<&str, Vec<String>> = BTreeMap::new();
     for (section, name, value) in rows {
         if section != skipped {
@@ -205,9 +209,9 @@
     parts.concat()
 }
 
-/// The defaults on the page are those of the code: written out, they change nothing.
+/// The documented defaults are those of the code: adding them to a file changes nothing.
 #[test]
-fn defaults_on_the_page_are_those_in_force() {
+fn documented_defaults_are_those_of_the_code() {
     let page = page();
     let shared = defaults(part(&page, "Both processes"));
     let file = "s.yaml".into();
@@ -215,9 +219,10 @@
     let mut rows = defaults(part(&page, "winchvane-gateway"));
     assert!(rows.len() > 30, "{} rows", rows.len());
     rows.extend(shared.clone());
-    let told = GatewaySettings::parse(&file, &written_out(GATEWAY, &rows, "")).expect("gateway");
+    let explicit =
+        GatewaySettings::parse(&file, &with_defaults(GATEWAY, &rows, "")).expect("gateway");
     let plain = GatewaySettings::parse(&file, GATEWAY).expect("gateway");
-    assert_eq!(format!("{told:#?}"), format!("{plain:#?}"));
+    assert_eq!(format!("{explicit:#?}"), format!("{plain:#?}"));
 
     let mut rows = defaults(part(&page, "winchvane-control"));
     assert!(rows.len() > 12, "{} rows", rows.len());
@@ -225,16 +230,17 @@
     for (seeds, skipped) in [(REPLICAS, "seeds"), (SEEDS, "")] {
         let base =
             if skipped.is_empty() { CONTROL.to_owned() } else { format!("{CONTROL}{seeds}") };
-        let told = ControlSettings::parse(&file, &written_out(&base, &rows, skipped));
+        let explicit = ControlSettings::parse(&file, &with_defaults(&base, &rows, skipped));
         let plain =
             ControlSettings::parse(&file, &format!("{CONTROL}{STORE}{seeds}")).expect("control");
-        assert_eq!(format!("{:#?}", told.expect("control")), format!("{plain:#?}"));
+        assert_eq!(format!("{:#?}", explicit.expect("control")), format!("{plain:#?}"));
     }
 
     let rows = defaults(part(&page, "winchvane-platform-gateway"));
     assert!(rows.len() > 5, "{} rows", rows.len());
     let base = format!("{RELAY}{SEEDS}");
-    let told = RelaySettings::parse(&file, &written_out(&base, &rows, "seeds")).expect("relay");
+    let explicit =
+        RelaySettings::parse(&file, &with_defaults(&base, &rows, "seeds")).expect("relay");
     let plain = RelaySettings::parse(&file, &base).expect("relay");
-    assert_eq!(format!("{told:#?}"), format!("{plain:#?}"));
+    assert_eq!(format!("{explicit:#?}"), format!("{plain:#?}"));
 }
