--- a/src/yaml.rs
+++ b/src/yaml.rs
@@ -284,8 +284,8 @@
 }
 
 /// The name of a field; `None` if the key is null, a floating-point number or nested.
-fn key_text(key: &MarkedYaml<'_>) -> Option<String> {
-    match &key.data {
+fn key_text(yaml: &MarkedYaml<'_>) -> Option<String> {
+    match &yaml.data {
         YamlData::Value(Scalar::String(text)) => Some(text.to_string()),
         YamlData::Value(Scalar::Integer(value)) => Some(value.to_string()),
         YamlData::Value(Scalar::Boolean(value)) => Some(value.to_string()),
