--- a/src/admin.rs
+++ b/src/admin.rs
@@ -28,7 +28,7 @@
 const TIDY: Duration = Duration::from_secs(5);
 
 /// Keeps the figures of a process in order until the task is dropped.
-pub async fn tidy_metrics(metrics: Metrics) {
+pub async fn run_metrics_upkeep(metrics: Metrics) {
     loop {
         tokio::time::sleep(TIDY).await;
         metrics.tidy();
--- a/src/control/process.rs
+++ b/src/control/process.rs
@@ -13,7 +13,7 @@
 use tokio::sync::watch;
 use tracing::info;
 
-use crate::admin::{metrics_text, problem, set_log_level, tidy_metrics};
+use crate::admin::{metrics_text, problem, run_metrics_upkeep, set_log_level};
 use crate::clock::Clock;
 use crate::control::api::ControlApi;
 use crate::control::boot::{self, Booted};
@@ -60,7 +60,7 @@
     let stage = Arc::new(RwLock::new(Stage::Empty));
     let handler = Arc::new(ControlHandler::new(stage.clone()));
     tokio::spawn(wire::serve(peers, handler, metrics.clone()));
-    tokio::spawn(tidy_metrics(metrics.clone()));
+    tokio::spawn(run_metrics_upkeep(metrics.clone()));
     let (stop, stopped) = watch::channel(false);
     let admin_handler = Arc::new(AdminHandler { stage: stage.clone(), metrics: metrics.clone() });
     let limits = ServerLimits::default();
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -30,7 +30,7 @@
 
 /// A call as it goes to the endpoint.
 #[derive(Debug, Clone)]
-pub struct Order {
+pub struct EndpointCall {
     /// The fencing token.
     pub epoch: u64,
     /// The id of the caller's request.
@@ -63,7 +63,7 @@
 }
 
 /// What came of sending a call.
-pub enum Sent {
+pub enum SendOutcome {
     /// The answer begins.
     Answer(EndpointAnswer),
     /// The endpoint did not start the call.
@@ -76,7 +76,7 @@
     ///
     /// # Errors
     /// "Not run" when no connection could be made, unknown otherwise.
-    fn send(&self, order: Order) -> BoxFuture<'_, Result<Sent>>;
+    fn send(&self, order: EndpointCall) -> BoxFuture<'_, Result<SendOutcome>>;
 
     /// Loads an adapter.
     ///
@@ -156,7 +156,7 @@
         Self { address, client, settings, is_engine: false }
     }
 
-    async fn send_call(&self, order: Order) -> Result<Sent> {
+    async fn send_call(&self, order: EndpointCall) -> Result<SendOutcome> {
         let call = order.call;
         let method = Method::from_bytes(call.method.as_bytes())
             .map_err(|_| Error::invalid(format!("\"{}\" is no HTTP method", call.method)))?;
@@ -186,7 +186,7 @@
         if self.is_engine && !status.is_success() {
             return self.classify(status, content_type, body).await;
         }
-        Ok(Sent::Answer(EndpointAnswer { status: status.as_u16(), content_type, body }))
+        Ok(SendOutcome::Answer(EndpointAnswer { status: status.as_u16(), content_type, body }))
     }
 
     /// Tells an engine's refusals before the start from its other errors.
@@ -195,9 +195,9 @@
         status: StatusCode,
         content_type: Arc<str>,
         body: BoxBody<Bytes, Error>,
-    ) -> Result<Sent> {
+    ) -> Result<SendOutcome> {
         if matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS) {
-            return Ok(Sent::Refused(EngineRefusal::Busy));
+            return Ok(SendOutcome::Refused(EngineRefusal::Busy));
         }
         let bytes = http_body_util::Limited::new(body, ERROR_MAX_BYTES)
             .collect()
@@ -207,14 +207,14 @@
         if status == StatusCode::CONFLICT {
             let text = String::from_utf8_lossy(&bytes);
             if text.contains(refusal_code::ADAPTER_NOT_LOADED) {
-                return Ok(Sent::Refused(EngineRefusal::AdapterNotLoaded));
+                return Ok(SendOutcome::Refused(EngineRefusal::AdapterNotLoaded));
             }
             if text.contains(refusal_code::STALE_EPOCH) {
-                return Ok(Sent::Refused(EngineRefusal::StaleEpoch));
+                return Ok(SendOutcome::Refused(EngineRefusal::StaleEpoch));
             }
         }
         let body = http_body_util::Full::new(bytes).map_err(|never| match never {}).boxed();
-        Ok(Sent::Answer(EndpointAnswer { status: status.as_u16(), content_type, body }))
+        Ok(SendOutcome::Answer(EndpointAnswer { status: status.as_u16(), content_type, body }))
     }
 
     async fn order(&self, path: &str, epoch: u64, body: &LoraBody) -> Result<()> {
@@ -266,7 +266,7 @@
 }
 
 impl Endpoint for HttpEndpoint {
-    fn send(&self, order: Order) -> BoxFuture<'_, Result<Sent>> {
+    fn send(&self, order: EndpointCall) -> BoxFuture<'_, Result<SendOutcome>> {
         Box::pin(self.send_call(order))
     }
 
--- a/src/following.rs
+++ b/src/following.rs
@@ -96,17 +96,22 @@
     }
 
     /// Notes that `address` does not serve here and named `leader` to try next, if it knows one.
-    pub fn sent_elsewhere(&mut self, now_ms: u64, address: SocketAddr, leader: Option<SocketAddr>) {
+    pub fn record_redirect(
+        &mut self,
+        now_ms: u64,
+        address: SocketAddr,
+        leader: Option<SocketAddr>,
+    ) {
         self.hint = leader;
         self.named = leader;
         if leader.is_none() {
             // It would be asked again and again otherwise, as the nearest one.
-            self.lost(now_ms, address);
+            self.record_failure(now_ms, address);
         }
     }
 
     /// Notes that `address` failed; true for the first attempt since one was followed, to be logged.
-    pub fn lost(&mut self, now_ms: u64, address: SocketAddr) -> bool {
+    pub fn record_failure(&mut self, now_ms: u64, address: SocketAddr) -> bool {
         // One that serves nobody yet, as all do at first, is not preferred anyway.
         if self.serves_zone(address) || self.named == Some(address) {
             let avoided = self.avoided.entry(address).or_default();
@@ -172,7 +177,7 @@
     }
 
     /// A replica that serves the zone, when `current` is none of them.
-    pub fn better_than(&self, now_ms: u64, current: SocketAddr) -> Option<SocketAddr> {
+    pub fn nearer_replica(&self, now_ms: u64, current: SocketAddr) -> Option<SocketAddr> {
         if self.serves_zone(current) { None } else { self.near(now_ms) }
     }
 
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -9,7 +9,7 @@
 use tokio::sync::{mpsc, watch};
 use tracing::{info, warn};
 
-use crate::admin::tidy_metrics;
+use crate::admin::run_metrics_upkeep;
 use crate::error::{Error, Result};
 use crate::gateway::admin::AdminHandler;
 use crate::gateway::callers::CallerHandler;
@@ -44,7 +44,7 @@
     let handler = Arc::new(ForwardHandler::new(shared.clone()));
     tokio::spawn(wire::serve(peers, handler, metrics.clone()));
     tokio::spawn(session::run(shared.clone(), boot_id, queue));
-    tokio::spawn(tidy_metrics(metrics.clone()));
+    tokio::spawn(run_metrics_upkeep(metrics.clone()));
     let (stop, stopped) = watch::channel(false);
     let limits = ServerLimits {
         connections: settings.limits.connections,
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -9,7 +9,7 @@
 use tokio::time::timeout;
 use tracing::{debug, warn};
 
-use crate::endpoint::{Endpoint, EndpointAnswer, EngineRefusal, Order, Sent};
+use crate::endpoint::{Endpoint, EndpointAnswer, EndpointCall, EngineRefusal, SendOutcome};
 use crate::gateway::shared::Shared;
 use crate::gateway::stream::{AnswerFault, EventChecker, check_json};
 use crate::message::{AdapterKey, ForwardEvent, ForwardRequest, Refusal, RunState};
@@ -49,7 +49,7 @@
         if self.events.is_closed() {
             return None;
         }
-        let order = Order {
+        let order = EndpointCall {
             epoch: self.epoch,
             request_id: self.request.request_id.clone(),
             priority: self.request.priority,
@@ -63,9 +63,11 @@
             }
         };
         match sent {
-            Ok(Sent::Answer(answer)) => self.forward_answer(answer).await,
-            Ok(Sent::Refused(EngineRefusal::StaleEpoch)) => self.refuse(Refusal::NotOwner).await,
-            Ok(Sent::Refused(refusal)) => return Some(refusal),
+            Ok(SendOutcome::Answer(answer)) => self.forward_answer(answer).await,
+            Ok(SendOutcome::Refused(EngineRefusal::StaleEpoch)) => {
+                self.refuse(Refusal::NotOwner).await;
+            }
+            Ok(SendOutcome::Refused(refusal)) => return Some(refusal),
             Err(error) if error.is_not_run() => {
                 debug!(event = "endpoint_unreachable", request = %self.request.request_id, error = %error);
                 self.refuse(Refusal::EndpointDown).await;
--- a/src/relay/process.rs
+++ b/src/relay/process.rs
@@ -18,7 +18,7 @@
 use super::orders::EngineClient;
 use super::session;
 use super::shared::Relay;
-use crate::admin::{metrics_text, problem, set_log_level, tidy_metrics};
+use crate::admin::{metrics_text, problem, run_metrics_upkeep, set_log_level};
 use crate::error::{Error, Result};
 use crate::http::{Answer, HttpHandler, ServerLimits, answer, json_answer, serve};
 use crate::metrics::Metrics;
@@ -62,7 +62,7 @@
     let queues = session::Queues { needs: wanted, outgoing };
     tokio::spawn(session::run(relay.clone(), rand::rng().random(), queues, engines));
     tokio::spawn(prune(relay.clone()));
-    tokio::spawn(tidy_metrics(metrics.clone()));
+    tokio::spawn(run_metrics_upkeep(metrics.clone()));
     let (stop, stopped) = watch::channel(false);
     let ready_handler = Arc::new(ReadyHandler { relay: relay.clone() });
     let limits = ServerLimits::default();
--- a/src/relay/session.rs
+++ b/src/relay/session.rs
@@ -61,8 +61,8 @@
     loop {
         let address = search.next(relay.now_ms());
         match follow(&relay, boot_id, address, &mut search, &mut queues, &engines).await {
-            Ok(leader) => search.sent_elsewhere(relay.now_ms(), address, leader),
-            Err(error) if search.lost(relay.now_ms(), address) => {
+            Ok(leader) => search.record_redirect(relay.now_ms(), address, leader),
+            Err(error) if search.record_failure(relay.now_ms(), address) => {
                 warn!(event = "control_lost", peer = %address, error = %error);
             }
             Err(error) => debug!(event = "control_not_found", peer = %address, error = %error),
@@ -181,7 +181,7 @@
                 if now_ms > last_message_at_ms + LEADER_TIMEOUT_MS {
                     return Err(Error::timeout("follow", address.to_string(), LEADER_TIMEOUT_MS));
                 }
-                if is_welcome && let Some(near) = search.better_than(now_ms, address) {
+                if is_welcome && let Some(near) = search.nearer_replica(now_ms, address) {
                     debug!(event = "control_nearer", from = %address, to = %near);
                     return Ok(Some(near));
                 }
--- a/tests/server_search.rs
+++ b/tests/server_search.rs
@@ -23,48 +23,52 @@
 #[test]
 fn a_gateway_prefers_the_server_of_its_zone() {
     let mut search = search();
-    assert_eq!(search.better_than(0, address(1)), Some(address(3)));
-    assert_eq!(search.better_than(0, address(3)), None);
+    assert_eq!(search.nearer_replica(0, address(1)), Some(address(3)));
+    assert_eq!(search.nearer_replica(0, address(3)), None);
     assert_eq!(search.next(0), address(3));
 }
 
 #[test]
 fn a_server_that_failed_is_left_alone_for_a_while_and_longer_each_time() {
     let mut search = search();
-    assert!(search.lost(1_000, address(3)), "the first loss is logged");
-    assert!(!search.lost(1_300, address(3)));
-    assert_eq!(search.better_than(2_000, address(1)), None);
-    assert_eq!(search.better_than(3_500, address(1)), None, "it failed twice in a row");
-    assert_eq!(search.better_than(5_300, address(1)), Some(address(3)));
+    assert!(search.record_failure(1_000, address(3)), "the first loss is logged");
+    assert!(!search.record_failure(1_300, address(3)));
+    assert_eq!(search.nearer_replica(2_000, address(1)), None);
+    assert_eq!(search.nearer_replica(3_500, address(1)), None, "it failed twice in a row");
+    assert_eq!(search.nearer_replica(5_300, address(1)), Some(address(3)));
     search.serves(address(3));
-    search.lost(6_000, address(3));
-    assert_eq!(search.better_than(8_000, address(1)), Some(address(3)), "it had served meanwhile");
+    search.record_failure(6_000, address(3));
+    assert_eq!(
+        search.nearer_replica(8_000, address(1)),
+        Some(address(3)),
+        "it had served meanwhile"
+    );
 }
 
 #[test]
 fn attempts_before_anything_is_known_count_against_nobody() {
     let mut search = ServerSearch::new("a".into(), vec![address(3)]);
     for attempt in 0..20 {
-        search.lost(attempt * 100, address(3));
+        search.record_failure(attempt * 100, address(3));
     }
     let servers = vec![SessionServer { zone: "a".into(), address: address(3) }];
     search.set_group(Group { servers, ..Group::default() });
     search.found();
-    assert_eq!(search.better_than(2_100, address(1)), Some(address(3)));
+    assert_eq!(search.nearer_replica(2_100, address(1)), Some(address(3)));
 }
 
 #[test]
 fn a_server_that_the_leader_names_anew_is_preferred_at_once() {
     let mut search = search();
-    search.lost(0, address(3));
+    search.record_failure(0, address(3));
     assert!(search.has_failed_server(1_000));
     let group = |servers| Group { servers, ..Group::default() };
     let server = SessionServer { zone: "a".into(), address: address(3) };
     search.set_group(group(vec![server.clone()]));
-    assert_eq!(search.better_than(1_000, address(1)), None, "it has been named all the time");
+    assert_eq!(search.nearer_replica(1_000, address(1)), None, "it has been named all the time");
     search.set_group(group(Vec::new()));
     search.set_group(group(vec![server]));
-    assert_eq!(search.better_than(1_000, address(1)), Some(address(3)));
+    assert_eq!(search.nearer_replica(1_000, address(1)), Some(address(3)));
     assert!(!search.has_failed_server(1_000));
 }
 
@@ -73,17 +77,17 @@
     let mut search = search();
     search.found();
     assert_eq!(search.next(0), address(3));
-    search.sent_elsewhere(0, address(3), None);
+    search.record_redirect(0, address(3), None);
     let tried = [search.next(20), search.next(40), search.next(60)];
     assert!(tried.contains(&address(1)) && tried.contains(&address(2)), "{tried:?}");
-    search.sent_elsewhere(80, address(2), Some(address(1)));
+    search.record_redirect(80, address(2), Some(address(1)));
     assert_eq!(search.next(100), address(1), "that one was named");
 }
 
 #[test]
 fn all_known_replicas_are_tried_by_turns_while_none_is_found() {
     let mut search = search();
-    search.lost(0, address(3));
+    search.record_failure(0, address(3));
     let mut tried = std::collections::BTreeSet::new();
     for _ in 0..5 {
         tried.insert(search.next(10));
@@ -100,12 +104,12 @@
     for failing in 1..=3 {
         let mut search = search();
         let failing = address(failing);
-        search.lost(0, failing);
+        search.record_failure(0, failing);
         let mut tried = std::collections::BTreeSet::new();
         for _ in 0..2 {
             let next = search.next(100);
             assert_ne!(next, failing);
-            search.lost(200, next);
+            search.record_failure(200, next);
             tried.insert(next);
         }
         assert_eq!(tried.len(), 2, "{tried:?}");
@@ -117,7 +121,7 @@
 fn when_all_failed_all_are_tried_again() {
     let mut search = search();
     for number in 1..=3 {
-        search.lost(0, address(number));
+        search.record_failure(0, address(number));
     }
     let mut tried = std::collections::BTreeSet::new();
     for _ in 0..8 {
