--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -121,7 +121,7 @@
 mutate "the rate of ends is weighed" $crashes 's/highest \/ crash\.used as f64/0.000_01/' --test crashes
 mutate "one gateway at a time tries" $crashes 's/known\.since_ms \+ held_ms > now_ms \|\| self\.uncommitted\.contains_key\(&key\)/known.since_ms + held_ms > now_ms/' --test crashes
 mutate "a trial is used once" src/relay/standings.rs 's/ && self\.tried\.insert\(\*key\)//' --test standings
-mutate "time goes on while suspended" src/clock.rs 's/left_ms\.min\(LOOK_MS\)/left_ms/' --test clock
+mutate "time goes on while suspended" src/clock.rs 's/left_ms\.min\(POLL_INTERVAL_MS\)/left_ms/' --test clock
 mutate "ends that others explain are no chance" $crashes 's/if !is_same_crash && self\.is_explained_without\(key, other\) \{/if false {/' --test crashes in_turn
 mutate "what was not served lately stands out" $crashes 's/suspect = \(crashes > most_crashes\)\.then_some\(\*key\);/suspect = None;/' --test crashes in_turn
 mutate "gateways report what they served before a hold" $crashes 's/if standing\.is_refused\(\) && !self\.is_served_report_due\(now_ms, key\) \{/if false {/' --test crashes gateways_can_report
--- a/src/admin.rs
+++ b/src/admin.rs
@@ -1,4 +1,4 @@
-//! What the admin listeners of all processes have in common.
+//! Answers of the admin listeners of all processes: metrics, the log level and errors.
 
 use std::time::Duration;
 
@@ -11,33 +11,33 @@
 use crate::logging;
 use crate::metrics::Metrics;
 
-const LEVEL_MAX_BYTES: usize = 1_024;
-const LEVEL_TIMEOUT_MS: u64 = 5_000;
+const LOG_LEVEL_MAX_BYTES: usize = 1_024;
+const LOG_LEVEL_TIMEOUT_MS: u64 = 5_000;
 
-/// An error for operators.
+/// Builds an answer that reports an error to the operator.
 pub fn problem(status: StatusCode, message: &str) -> Answer {
     json_answer(status, &json!({"error": message}))
 }
 
-/// The process's figures as text.
+/// Builds an answer with the process's metrics in the Prometheus text format.
 pub fn metrics_text(metrics: &Metrics) -> Answer {
     answer(StatusCode::OK, "text/plain; version=0.0.4", metrics.text())
 }
 
-/// How often recent durations are moved into their histograms.
-const TIDY: Duration = Duration::from_secs(5);
+/// How often recent durations are merged into their histograms.
+const METRICS_UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Keeps the figures of a process in order until the task is dropped.
+/// Runs the upkeep of `metrics` at intervals until the task is dropped.
 pub async fn run_metrics_upkeep(metrics: Metrics) {
     loop {
-        tokio::time::sleep(TIDY).await;
-        metrics.tidy();
+        tokio::time::sleep(METRICS_UPKEEP_INTERVAL).await;
+        metrics.run_upkeep();
     }
 }
 
-/// Sets the log level of the process from a request's body.
+/// Sets the log level of the process to the one in the request's body.
 pub async fn set_log_level(request: Request<Incoming>) -> Answer {
-    let body = read_body(request.into_body(), LEVEL_MAX_BYTES, LEVEL_TIMEOUT_MS).await;
+    let body = read_body(request.into_body(), LOG_LEVEL_MAX_BYTES, LOG_LEVEL_TIMEOUT_MS).await;
     let Ok(body) = body else {
         return problem(StatusCode::BAD_REQUEST, "expected a log level such as debug");
     };
--- a/src/bin/winchvane-control.rs
+++ b/src/bin/winchvane-control.rs
@@ -1,4 +1,4 @@
-//! One replica of control.
+//! The control process: one replica of the replicated log and the state kept in it.
 
 use std::process::ExitCode;
 
@@ -7,7 +7,8 @@
 use winchvane::process::{ProcessArguments, start};
 use winchvane::settings::ControlSettings;
 
-/// Keeps configuration, run ledger, endpoint ownership and membership in a replicated log.
+/// Runs a control replica, which keeps configuration, run ledger, endpoint ownership and membership
+/// in a replicated log.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
--- a/src/bin/winchvane-gateway.rs
+++ b/src/bin/winchvane-gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway process.
+//! The gateway process: accepts callers' requests and owns some of the endpoints.
 
 use std::process::ExitCode;
 
@@ -7,7 +7,7 @@
 use winchvane::process::{ProcessArguments, start};
 use winchvane::settings::GatewaySettings;
 
-/// Takes callers' requests, routes them, and owns some of the endpoints.
+/// Runs a gateway, which accepts and routes callers' requests and owns some of the endpoints.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
--- a/src/bin/winchvane.rs
+++ b/src/bin/winchvane.rs
@@ -1,4 +1,4 @@
-//! The operator's command.
+//! The operators' command-line tool.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -13,14 +13,15 @@
 use winchvane::explain;
 use winchvane::operator::{AdminClient, read_declarations, to_table, to_yaml};
 
-/// Checks, applies and shows winchvane's declarations, and dumps the state of its processes.
+/// Checks, applies and shows declarations of winchvane, and dumps the state of its processes.
 ///
-/// Exit status: 0 done; 1 a server could not be reached or failed; 2 the input is wrong; 3 a
-/// declaration conflicts with an accepted one; 4 `diff` found differences.
+/// Exit status: 0 success; 1 a server failed or could not be reached, or nothing was found; 2 the
+/// input is invalid; 3 a declaration conflicts with an accepted one; 4 `diff` found differences.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
-    /// The admin listener of a gateway; may be given more than once, tried in turn.
+    /// Address of a gateway's admin listener. May be given several times; the addresses are tried
+    /// in turn.
     #[arg(
         long,
         short,
@@ -30,7 +31,7 @@
         value_delimiter = ','
     )]
     server: Vec<SocketAddr>,
-    /// How to print.
+    /// Output format.
     #[arg(long, short, global = true, value_enum, default_value_t = Output::Table)]
     output: Output,
     #[command(subcommand)]
@@ -46,57 +47,57 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Check declarations without any server.
+    /// Check declarations without contacting a server.
     Check {
-        /// Files and folders.
+        /// Files and folders with declarations.
         #[arg(long = "file", short, required = true, value_name = "PATH")]
         files: Vec<PathBuf>,
     },
-    /// Submit declarations; accepted ones are in force everywhere within seconds. Applying the same
-    /// ones again is harmless.
+    /// Submit declarations. Accepted ones take effect at all gateways within seconds; applying the
+    /// same ones again has no effect.
     Apply {
-        /// Files and folders.
+        /// Files and folders with declarations.
         #[arg(long = "file", short, required = true, value_name = "PATH")]
         files: Vec<PathBuf>,
-        /// Only tell what would happen.
+        /// Report the result without changing anything.
         #[arg(long)]
         dry_run: bool,
     },
-    /// Tell how declarations differ from the accepted ones.
+    /// Show how declarations differ from the accepted ones.
     Diff {
-        /// Files and folders.
+        /// Files and folders with declarations.
         #[arg(long = "file", short, required = true, value_name = "PATH")]
         files: Vec<PathBuf>,
     },
     /// Show accepted declarations.
     Get {
-        /// Only this kind.
+        /// Show only declarations of this kind.
         #[arg(value_enum)]
         kind: Option<Kind>,
-        /// Only this name.
+        /// Show only the declaration with this name.
         name: Option<String>,
     },
     /// Show replicas, gateways, endpoints and their owners.
     Status,
-    /// Dump the state of the process behind `--server`.
+    /// Dump the state of the process at `--server`.
     Dump,
-    /// Set the log level of the process behind `--server`.
+    /// Set the log level of the process at `--server`.
     LogLevel {
-        /// Such as `info` or `info,winchvane::wire=debug`.
+        /// The level, such as `info` or `info,winchvane::wire=debug`.
         level: String,
     },
-    /// Tell from logs what happened to a request, or what was lost by route, cause and time.
+    /// Show from logs what happened to a request, or count lost requests by route, cause and time.
     Explain {
-        /// The request to tell of, over all processes.
+        /// ID of the request to trace through the logs of all processes.
         #[arg(long, value_name = "ID", required_unless_present = "losses")]
         request: Option<String>,
-        /// Count what was not answered in time.
+        /// Count the requests that were not answered in time.
         #[arg(long, conflicts_with = "request")]
         losses: bool,
-        /// Log files; `-` and none at all stand for standard input.
+        /// Log files; `-` or no file means standard input.
         logs: Vec<PathBuf>,
     },
-    /// Print a shell's completions.
+    /// Print the completion script for a shell.
     Completions {
         /// The shell.
         shell: Shell,
@@ -127,7 +128,7 @@
         Command::Status => status(&client, output).await,
         Command::Dump => dump(&client, output).await,
         Command::LogLevel { level } => set_log_level(&client, level, output).await,
-        Command::Explain { request, logs, .. } => tell(request.as_deref(), &logs, output),
+        Command::Explain { request, logs, .. } => explain_logs(request.as_deref(), &logs, output),
         Command::Completions { shell } => {
             clap_complete::generate(
                 shell,
@@ -142,7 +143,7 @@
 }
 
 fn print(text: &str) {
-    // A closed pipe, as behind `head`, is no failure of this command.
+    // An error is ignored: the output may be a pipe whose reader has ended, such as `head`.
     let _ = std::io::stdout().write_all(text.as_bytes());
 }
 
@@ -180,7 +181,7 @@
     0
 }
 
-/// Calls the server; what went wrong is printed and becomes an exit status.
+/// Calls the server. An error is printed and returned as an exit status.
 async fn call(
     client: &AdminClient,
     method: Method,
@@ -197,27 +198,27 @@
     Err(if is_invalid { EXIT_INVALID } else { EXIT_FAILED })
 }
 
-/// Tells of one request, or of all losses when none is named.
-fn tell(request: Option<&str>, logs: &[PathBuf], output: Output) -> u8 {
+/// Explains what happened to `request`, or counts the lost requests if it is `None`.
+fn explain_logs(request: Option<&str>, logs: &[PathBuf], output: Output) -> u8 {
     let is_table = output == Output::Table;
-    let told = match request {
+    let explanation = match request {
         Some(request) => explain::explain_request(request, logs),
         None => explain::explain_losses(logs),
     };
-    let told = match told {
-        Ok(told) => told,
+    let explanation = match explanation {
+        Ok(explanation) => explanation,
         Err(error) => {
             eprintln!("{error}");
             return if error.is_invalid() { EXIT_INVALID } else { EXIT_FAILED };
         }
     };
-    if told.skipped_lines > 0 {
-        eprintln!("{} lines are torn or of others", told.skipped_lines);
+    if explanation.skipped_lines > 0 {
+        eprintln!("{} lines are torn or of others", explanation.skipped_lines);
     }
     if is_table {
-        print(&told.text);
+        print(&explanation.text);
     } else {
-        print_value(&told.value, output);
+        print_value(&explanation.value, output);
     }
     0
 }
@@ -270,7 +271,7 @@
             document.kind().to_string(),
             document.name().to_string(),
             document.version().to_string(),
-            describe(verdict),
+            describe_verdict(verdict),
             place,
         ]);
     }
@@ -286,7 +287,7 @@
     print(&format!("{result}; {} changed, {unchanged} unchanged\n", rows.len()));
 }
 
-fn describe(verdict: &Value) -> String {
+fn describe_verdict(verdict: &Value) -> String {
     if let Some(conflict) = verdict.get("conflict") {
         let stored = &conflict["stored_version"];
         return if conflict["same_version"] == true {
@@ -327,18 +328,19 @@
     if differs || !only_accepted.is_empty() { EXIT_DIFFERENT } else { 0 }
 }
 
+/// Returns the accepted declarations that are not among `documents`.
 fn only_accepted(documents: &[Located], accepted: &Value) -> Vec<String> {
     let mut names = std::collections::BTreeSet::new();
     for located in documents {
         names.insert((located.document.kind(), located.document.name().clone()));
     }
-    let mut only = Vec::new();
+    let mut missing = Vec::new();
     for document in read_documents(accepted) {
         if !names.contains(&(document.kind(), document.name().clone())) {
-            only.push(format!("{} {}", document.kind(), document.name()));
+            missing.push(format!("{} {}", document.kind(), document.name()));
         }
     }
-    only
+    missing
 }
 
 fn read_documents(answer: &Value) -> Vec<Document> {
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,4 +1,5 @@
-//! The process's clocks; only the outermost layer reads them.
+//! The clocks of a process. Only its outermost layer reads them; state machines are given the time
+//! as an argument.
 
 use std::fmt::Debug;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -6,31 +7,31 @@
 use nix::time::{ClockId, clock_gettime};
 use tokio::time::timeout;
 
-/// How often a wait looks at the clock: timers of the runtime stand still while the machine is suspended.
-const LOOK_MS: u64 = 500;
+/// How often a wait reads the clock. The runtime's timers stop while the machine is suspended, so
+/// one long timer would end too late.
+const POLL_INTERVAL_MS: u64 = 500;
 
-/// Where a clock reads the time.
+/// A source of monotonic time.
 pub trait TimeSource: Debug + Send + Sync {
-    /// Milliseconds since some moment before the process began; never less than before.
+    /// Milliseconds since a fixed moment before the process started; never decreases.
     fn now_ms(&self) -> u64;
 }
 
-/// The time since the machine was started, which goes on while it is suspended.
+/// The time since the machine booted, including the time for which it was suspended.
 ///
-/// The steady clock does not: leases, confirmations and deadlines would look younger than they are by as
-/// long as the machine was suspended.
+/// `CLOCK_MONOTONIC` stops during a suspension. With it, leases, confirmations and deadlines would
+/// look younger than they are by the length of the suspension.
 #[derive(Debug, Clone, Copy)]
 pub struct SinceBoot;
 
 impl TimeSource for SinceBoot {
     fn now_ms(&self) -> u64 {
-        let now = clock_gettime(ClockId::CLOCK_BOOTTIME)
-            .expect("each Linux that runs this has the clock");
+        let now = clock_gettime(ClockId::CLOCK_BOOTTIME).expect("Linux provides CLOCK_BOOTTIME");
         Duration::from(now).as_millis() as u64
     }
 }
 
-/// A clock that starts at zero.
+/// A clock that reads zero when it is created.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     source: &'static dyn TimeSource,
@@ -38,31 +39,32 @@
 }
 
 impl Clock {
-    /// A clock that starts now and goes on while the machine is suspended.
+    /// Creates a clock that keeps running while the machine is suspended.
     pub fn new() -> Self {
         Self::with_source(&SinceBoot)
     }
 
-    /// A clock that starts now and reads `source`.
+    /// Creates a clock that reads `source`.
     pub fn with_source(source: &'static dyn TimeSource) -> Self {
         Self { source, started_ms: source.now_ms() }
     }
 
-    /// Milliseconds since the start.
+    /// Milliseconds since the clock was created.
     pub fn now_ms(&self) -> u64 {
         self.source.now_ms().saturating_sub(self.started_ms)
     }
 
-    /// Waits for `future` until `at_ms`; none when it has not ended by then.
+    /// Waits for `future` until `at_ms`; returns `None` if it has not completed by then.
     ///
-    /// After the machine was suspended a wait whose time has passed ends within half a second.
+    /// If `at_ms` passes while the machine is suspended, the wait ends within half a second after
+    /// the machine resumes.
     pub async fn timeout_at<T>(&self, at_ms: u64, future: impl Future<Output = T>) -> Option<T> {
         tokio::pin!(future);
         loop {
             let left_ms = at_ms.saturating_sub(self.now_ms());
-            let look = Duration::from_millis(left_ms.min(LOOK_MS));
-            if let Ok(ended) = timeout(look, future.as_mut()).await {
-                return Some(ended);
+            let pause = Duration::from_millis(left_ms.min(POLL_INTERVAL_MS));
+            if let Ok(output) = timeout(pause, future.as_mut()).await {
+                return Some(output);
             }
             if self.now_ms() >= at_ms {
                 return None;
@@ -82,7 +84,7 @@
     }
 }
 
-/// Milliseconds of wall time since 1970.
+/// Wall-clock time in milliseconds since the Unix epoch.
 pub fn wall_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |passed| passed.as_millis() as u64)
+    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |elapsed| elapsed.as_millis() as u64)
 }
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints as their owner sees them: a trait at the border, and HTTP behind it.
+//! The interface through which a gateway uses its endpoints, and its implementation over HTTP.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,30 +18,30 @@
 use crate::settings::EndpointSettings;
 use crate::wire::BoxFuture;
 
-/// Carries the fencing token of an order.
+/// The header with the fencing token of a request to an endpoint.
 pub const EPOCH_HEADER: &str = "winchvane-epoch";
-/// Carries the id of the caller's request.
+/// The header with the id of the caller's request.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
-/// Carries the caller's idempotency key.
+/// The header with the caller's idempotency key.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
 const STATUS_MAX_BYTES: usize = 1 << 20;
 const ERROR_MAX_BYTES: usize = 64 << 10;
 
-/// A call as it goes to the endpoint.
+/// A call with the metadata that is sent to the endpoint with it.
 #[derive(Debug, Clone)]
 pub struct EndpointCall {
-    /// The fencing token.
+    /// The owner's epoch, which serves as fencing token.
     pub epoch: u64,
     /// The id of the caller's request.
     pub request_id: Arc<str>,
     /// The priority.
     pub priority: Priority,
-    /// The call.
+    /// The HTTP request to run.
     pub call: Call,
 }
 
-/// An endpoint's answer, its body still to be read.
+/// An endpoint's answer, whose body has yet to be read.
 pub struct EndpointAnswer {
     /// The HTTP status.
     pub status: u16,
@@ -51,20 +51,20 @@
     pub body: BoxBody<Bytes, Error>,
 }
 
-/// Why an engine refused a call that it did not start.
+/// Why an engine refused a call without starting it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EngineRefusal {
     /// The adapter is not loaded.
     AdapterNotLoaded,
-    /// A later owner has given orders already.
+    /// The engine has seen the higher epoch of a later owner.
     StaleEpoch,
-    /// It takes nothing now.
+    /// The engine accepts no calls at present.
     Busy,
 }
 
-/// What came of sending a call.
+/// The result of sending a call.
 pub enum SendOutcome {
-    /// The answer begins.
+    /// The head of the answer has arrived.
     Answer(EndpointAnswer),
     /// The endpoint did not start the call.
     Refused(EngineRefusal),
@@ -72,10 +72,11 @@
 
 /// An endpoint: a model engine or a plain service.
 pub trait Endpoint: Send + Sync + 'static {
-    /// Sends a call.
+    /// Sends a call and waits for the head of the answer.
     ///
     /// # Errors
-    /// "Not run" when no connection could be made, unknown otherwise.
+    /// "Not run" if no connection could be made or no byte was written; otherwise it is unknown
+    /// whether the call ran.
     fn send(&self, order: EndpointCall) -> BoxFuture<'_, Result<SendOutcome>>;
 
     /// Loads an adapter.
@@ -90,54 +91,55 @@
     /// As for [`load`](Self::load).
     fn unload(&self, epoch: u64, adapter: AdapterKey) -> BoxFuture<'_, Result<()>>;
 
-    /// Reads the status under the owner's epoch, which also fences earlier owners off.
+    /// Reads the status. The request carries the owner's epoch, so that the endpoint refuses calls
+    /// of earlier owners from then on.
     ///
     /// # Errors
-    /// The endpoint did not answer in time, or not with a status.
+    /// The endpoint did not answer in time or returned no valid status.
     fn status(&self, epoch: u64) -> BoxFuture<'_, Result<EngineStatus>>;
 }
 
-/// The status of an engine at `GET /status`.
+/// The body of an engine's answer to `GET /status`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct StatusBody {
-    /// Drawn at each start.
+    /// A random id of each start of the engine.
     pub boot_id: u64,
-    /// Requests that it runs at once.
+    /// The number of requests that the engine runs at once.
     pub max_running: u32,
-    /// Adapters that it holds at once.
+    /// The number of adapters that the engine holds at once.
     pub max_adapters: u32,
     /// The loaded adapters.
     pub adapters: Vec<LoadedBody>,
 }
 
-/// One loaded adapter.
+/// A loaded adapter in a [`StatusBody`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LoadedBody {
-    /// As `name@version`.
+    /// The adapter as `name@version`.
     pub name: String,
-    /// Requests that run on it.
+    /// The number of requests that run on it.
     pub running: u32,
 }
 
 /// The body of `POST /v1/load_lora_adapter` and `POST /v1/unload_lora_adapter`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LoraBody {
-    /// As `name@version`.
+    /// The adapter as `name@version`.
     pub lora_name: String,
-    /// Where the weight store has it; empty when unloading.
+    /// The path of the adapter in the weight store; empty when unloading.
     #[serde(default)]
     pub lora_path: String,
 }
 
-/// Codes of an engine's refusals, in the field `error.code`.
+/// Values of the field `error.code` in an engine's refusals.
 pub mod refusal_code {
     /// The adapter is not loaded.
     pub const ADAPTER_NOT_LOADED: &str = "adapter_not_loaded";
-    /// The order's epoch is lower than the highest seen.
+    /// The call's epoch is lower than the highest one that the engine has seen.
     pub const STALE_EPOCH: &str = "stale_epoch";
 }
 
-/// An endpoint reached by HTTP.
+/// An endpoint that is reached over HTTP.
 pub struct HttpEndpoint {
     address: SocketAddr,
     client: HttpClient,
@@ -146,12 +148,12 @@
 }
 
 impl HttpEndpoint {
-    /// A model engine at `address`.
+    /// Creates a client of the model engine at `address`.
     pub fn new_engine(address: SocketAddr, client: HttpClient, settings: EndpointSettings) -> Self {
         Self { address, client, settings, is_engine: true }
     }
 
-    /// A plain service at `address`.
+    /// Creates a client of the plain service at `address`.
     pub fn new_plain(address: SocketAddr, client: HttpClient, settings: EndpointSettings) -> Self {
         Self { address, client, settings, is_engine: false }
     }
@@ -159,7 +161,7 @@
     async fn send_call(&self, order: EndpointCall) -> Result<SendOutcome> {
         let call = order.call;
         let method = Method::from_bytes(call.method.as_bytes())
-            .map_err(|_| Error::invalid(format!("\"{}\" is no HTTP method", call.method)))?;
+            .map_err(|_| Error::invalid(format!("\"{}\" is not an HTTP method", call.method)))?;
         let content_type = call.content_type.as_deref();
         let mut request =
             request(method, self.address, &call.path, content_type, call.body.into())?;
@@ -184,13 +186,14 @@
             .map_err(move |error| Error::failed("read answer", peer.clone(), error))
             .boxed();
         if self.is_engine && !status.is_success() {
-            return self.classify(status, content_type, body).await;
+            return self.classify_error(status, content_type, body).await;
         }
         Ok(SendOutcome::Answer(EndpointAnswer { status: status.as_u16(), content_type, body }))
     }
 
-    /// Tells an engine's refusals before the start from its other errors.
-    async fn classify(
+    /// Distinguishes refusals, after which the engine has not started the call, from other errors
+    /// of the engine, which are passed on as its answer.
+    async fn classify_error(
         &self,
         status: StatusCode,
         content_type: Arc<str>,
@@ -217,9 +220,11 @@
         Ok(SendOutcome::Answer(EndpointAnswer { status: status.as_u16(), content_type, body }))
     }
 
+    /// Sends a request to load or unload an adapter.
     async fn order(&self, path: &str, epoch: u64, body: &LoraBody) -> Result<()> {
-        let body = serde_json::to_vec(body)
-            .map_err(|error| Error::invalid(format!("an order cannot be encoded: {error}")))?;
+        let body = serde_json::to_vec(body).map_err(|error| {
+            Error::invalid(format!("the body of {path} cannot be encoded: {error}"))
+        })?;
         let json = Some("application/json");
         let mut request = request(Method::POST, self.address, path, json, body.into())?;
         request.headers_mut().insert(EPOCH_HEADER, epoch.into());
--- a/src/error.rs
+++ b/src/error.rs
@@ -1,4 +1,4 @@
-//! The one error type of the crate.
+//! The error type of the crate.
 
 use std::io;
 use std::sync::Arc;
@@ -7,12 +7,12 @@
 
 use crate::message::RunState;
 
-/// A result whose error is [`Error`].
+/// A result with the crate's [`Error`].
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// What went wrong, at which step, and with which peer.
+/// An error, with the step that failed and the peer or file that was involved.
 ///
-/// The kind is private: callers ask the classifying methods what may be done next.
+/// The kind is private: callers decide by the `is_` methods how to go on.
 #[derive(Debug, Snafu)]
 #[snafu(source(from(Kind, Box::new)))]
 pub struct Error(Box<Kind>);
@@ -34,39 +34,39 @@
 }
 
 impl Error {
-    /// An input that the caller has to correct.
+    /// Creates an error for an input that the caller has to correct.
     pub fn invalid(detail: impl Into<String>) -> Self {
         Kind::Invalid { detail: detail.into() }.into()
     }
 
-    /// An input or output operation that failed.
+    /// Creates an error for an I/O operation that failed.
     pub fn io(step: &'static str, peer: impl Into<Arc<str>>, source: io::Error) -> Self {
         Kind::Io { step, peer: peer.into(), source }.into()
     }
 
-    /// A peer whose answer shows that the work was never started there.
+    /// Creates an error for a peer that has certainly not started the work.
     pub fn refused(step: &'static str, peer: impl Into<Arc<str>>, detail: impl ToString) -> Self {
         let run = RunState::NotRun;
         Kind::Peer { step, peer: peer.into(), detail: detail.to_string(), run }.into()
     }
 
-    /// A peer that failed in a way that leaves open whether the work was done.
+    /// Creates an error for a peer that failed and may have done the work.
     pub fn failed(step: &'static str, peer: impl Into<Arc<str>>, detail: impl ToString) -> Self {
         let run = RunState::Unknown;
         Kind::Peer { step, peer: peer.into(), detail: detail.to_string(), run }.into()
     }
 
-    /// A peer that did not answer in time.
+    /// Creates an error for a peer that did not answer in time.
     pub fn timeout(step: &'static str, peer: impl Into<Arc<str>>, timeout_ms: u64) -> Self {
         Kind::Timeout { step, peer: peer.into(), timeout_ms }.into()
     }
 
-    /// A call that needs the leader while none is known.
+    /// Creates an error for a call that needs the leader while none is known.
     pub fn no_leader(step: &'static str) -> Self {
         Kind::NoLeader { step }.into()
     }
 
-    /// A file whose content is not what was written to it.
+    /// Creates an error for a file whose content differs from what was written to it.
     pub fn damaged(
         step: &'static str,
         file: impl Into<Arc<str>>,
@@ -75,7 +75,7 @@
         Kind::Damaged { step, file: file.into(), detail: detail.into() }.into()
     }
 
-    /// True when the work in question was certainly not run.
+    /// True if the failed operation was certainly not run.
     pub fn is_not_run(&self) -> bool {
         match *self.0 {
             Kind::Invalid { .. } | Kind::NoLeader { .. } => true,
@@ -84,27 +84,27 @@
         }
     }
 
-    /// True when the same call may succeed later without a change by the caller.
+    /// True if the same call, unchanged, may succeed later.
     pub fn is_retryable(&self) -> bool {
         !matches!(*self.0, Kind::Invalid { .. } | Kind::Damaged { .. })
     }
 
-    /// True when a peer did not answer in time.
+    /// True if a peer did not answer in time.
     pub fn is_timeout(&self) -> bool {
         matches!(*self.0, Kind::Timeout { .. })
     }
 
-    /// True when the caller has to correct its input.
+    /// True if the caller has to correct its input.
     pub fn is_invalid(&self) -> bool {
         matches!(*self.0, Kind::Invalid { .. })
     }
 
-    /// True when a disk took no more bytes; it may take them later.
+    /// True if the disk is full; a later write may succeed.
     pub fn is_disk_full(&self) -> bool {
         matches!(&*self.0, Kind::Io { source, .. } if source.kind() == io::ErrorKind::StorageFull)
     }
 
-    /// True when stored data was found damaged.
+    /// True if stored data is damaged.
     pub fn is_damaged(&self) -> bool {
         matches!(*self.0, Kind::Damaged { .. })
     }
--- a/src/following.rs
+++ b/src/following.rs
@@ -1,4 +1,4 @@
-//! What every process does that follows control: finding a replica to follow, and telling it things.
+//! Client side of the sessions with control: choosing the replica to follow and sending to it.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,13 +12,13 @@
 use crate::traffic;
 use crate::wire::Sender;
 
-/// A replica that takes nothing in for this long is given up.
+/// The time after which a replica that accepts no data is given up.
 const SEND_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Sends a message on a session.
 ///
 /// # Errors
-/// The session was closed, or its other end takes nothing in.
+/// The session was closed, or the replica accepts no data.
 pub async fn send(sender: &mut Sender<SessionUp>, up: &SessionUp) -> Result<()> {
     let size_bytes = timeout(SEND_TIMEOUT, sender.send(up))
         .await
@@ -27,146 +27,152 @@
     Ok(())
 }
 
-/// A replica that failed is not preferred again for this long; doubled with each failure in a row.
-const AVOIDED_MS: u64 = 2_000;
-/// The longest such time.
-const AVOIDED_MAX_MS: u64 = 30_000;
+/// How long a replica is not preferred after a failure; doubled with each consecutive failure.
+const BACKOFF_MS: u64 = 2_000;
+/// The upper limit of a backoff.
+const BACKOFF_MAX_MS: u64 = 30_000;
 
-/// A replica that failed.
+/// The backoff of a replica that failed.
 #[derive(Debug, Clone, Copy, Default)]
-struct Avoided {
-    /// How often in a row.
+struct Backoff {
+    /// The number of consecutive failures.
     failures: u32,
-    /// Until when it is not preferred.
+    /// The time until which the replica is not preferred.
     until_ms: u64,
 }
 
-/// Which replica a gateway tries next: the one that was named, then one that serves its availability
-/// zone, then all known ones by turns.
+/// Selects the replica that a gateway tries next: the one that another replica redirected it to,
+/// then one that serves its availability zone, then all known ones round robin.
 #[derive(Debug)]
 pub struct ServerSearch {
     zone: Arc<str>,
     seeds: Vec<SocketAddr>,
     group: Group,
-    hint: Option<SocketAddr>,
-    /// The replica that another one named last.
-    named: Option<SocketAddr>,
+    /// The target of a redirect that has not been tried yet.
+    pending_redirect: Option<SocketAddr>,
+    /// The target of the last redirect.
+    redirect_target: Option<SocketAddr>,
+    /// The number of replicas selected round robin so far.
     turn: usize,
-    avoided: HashMap<SocketAddr, Avoided>,
-    /// Replicas that failed since one was last followed, and after how many tries.
+    backoffs: HashMap<SocketAddr, Backoff>,
+    /// Replicas that failed since a replica was last followed, with the value of `tries` at that
+    /// time.
     failed_at: HashMap<SocketAddr, usize>,
-    /// Tries since one was last followed.
+    /// The number of round-robin tries since a replica was last followed.
     tries: usize,
-    /// Attempts that failed since one was last followed.
+    /// The number of failed attempts since a replica was last followed.
     failed: u32,
 }
 
 impl ServerSearch {
-    /// A search of a gateway in `zone` that knows the replicas `seeds`, of which there is one at
-    /// least.
+    /// Creates a search for a gateway in `zone`; `seeds` are the replicas known at the start, at
+    /// least one.
     pub fn new(zone: Arc<str>, seeds: Vec<SocketAddr>) -> Self {
         Self {
             zone,
             seeds,
             group: Group::default(),
-            hint: None,
-            named: None,
+            pending_redirect: None,
+            redirect_target: None,
             turn: 0,
-            avoided: HashMap::new(),
+            backoffs: HashMap::new(),
             failed_at: HashMap::new(),
             tries: 0,
             failed: 0,
         }
     }
 
-    /// Takes over who the replicas are and whom they serve.
+    /// Replaces the replicas and the zones that they serve.
     pub fn set_group(&mut self, group: Group) {
         for server in &group.servers {
-            // One that serves again, as the leader says, is as good as any.
+            // The leader has listed the replica again, so its earlier failures no longer count.
             if !self.group.servers.contains(server) {
-                self.avoided.remove(&server.address);
+                self.backoffs.remove(&server.address);
             }
         }
         self.group = group;
     }
 
-    /// True while a replica that would serve the zone fails.
+    /// True while a replica that this gateway would otherwise prefer is in backoff.
     pub fn has_failed_server(&self, now_ms: u64) -> bool {
-        self.avoided.values().any(|avoided| avoided.until_ms > now_ms)
+        self.backoffs.values().any(|backoff| backoff.until_ms > now_ms)
     }
 
-    /// Notes that `address` does not serve here and named `leader` to try next, if it knows one.
+    /// Records that the replica at `address` does not serve this gateway and redirected it to
+    /// `leader`, if it knows one.
     pub fn record_redirect(
         &mut self,
         now_ms: u64,
         address: SocketAddr,
         leader: Option<SocketAddr>,
     ) {
-        self.hint = leader;
-        self.named = leader;
+        self.pending_redirect = leader;
+        self.redirect_target = leader;
         if leader.is_none() {
-            // It would be asked again and again otherwise, as the nearest one.
+            // Without a backoff this replica would be tried again and again if it serves the zone.
             self.record_failure(now_ms, address);
         }
     }
 
-    /// Notes that `address` failed; true for the first attempt since one was followed, to be logged.
+    /// Records that an attempt with the replica at `address` failed. True for the first failure
+    /// since a replica was last followed, which should be logged.
     pub fn record_failure(&mut self, now_ms: u64, address: SocketAddr) -> bool {
-        // One that serves nobody yet, as all do at first, is not preferred anyway.
-        if self.serves_zone(address) || self.named == Some(address) {
-            let avoided = self.avoided.entry(address).or_default();
-            let pause_ms = (AVOIDED_MS << avoided.failures.min(8)).min(AVOIDED_MAX_MS);
-            avoided.until_ms = now_ms + pause_ms;
-            avoided.failures += 1;
+        // All other replicas, which includes every replica at the start, are not preferred anyway.
+        if self.serves_zone(address) || self.redirect_target == Some(address) {
+            let backoff = self.backoffs.entry(address).or_default();
+            let backoff_ms = (BACKOFF_MS << backoff.failures.min(8)).min(BACKOFF_MAX_MS);
+            backoff.until_ms = now_ms + backoff_ms;
+            backoff.failures += 1;
         }
         self.failed_at.insert(address, self.tries);
         self.failed += 1;
         self.failed == 1
     }
 
-    /// Notes that a replica is followed; returns how many attempts failed before.
+    /// Records that a replica is followed. Returns the number of attempts that failed before.
     pub fn found(&mut self) -> u32 {
         self.failed_at.clear();
         self.tries = 0;
         std::mem::take(&mut self.failed)
     }
 
-    /// Notes that `address` has served for a while.
+    /// Ends the backoff of the replica at `address`, which has served this gateway for a while.
     pub fn serves(&mut self, address: SocketAddr) {
-        self.avoided.remove(&address);
+        self.backoffs.remove(&address);
     }
 
-    /// The replica to try.
+    /// Selects the replica to try.
     pub fn next(&mut self, now_ms: u64) -> SocketAddr {
-        if let Some(hint) = self.hint.take() {
-            return hint;
+        if let Some(leader) = self.pending_redirect.take() {
+            return leader;
         }
         if self.failed == 0
-            && let Some(near) = self.near(now_ms)
+            && let Some(replica) = self.zone_replica(now_ms)
         {
-            return near;
+            return replica;
         }
-        let known = self.known();
+        let known = self.known_replicas();
         self.tries += 1;
         for _ in 0..known.len() {
-            let address = self.by_turns(&known);
-            // One that stands still takes connections and says nothing, so that each attempt costs the longest
-            // wait: all others go before it.
+            let address = self.next_in_turn(&known);
+            // A replica that hangs accepts connections without ever replying, so that an attempt
+            // lasts until its timeout. All other replicas are tried before a failed one is tried
+            // again.
             let failed_at = self.failed_at.get(&address);
             if failed_at.is_none_or(|failed_at| self.tries - failed_at >= known.len()) {
                 return address;
             }
         }
-        self.by_turns(&known)
+        self.next_in_turn(&known)
     }
 
-    fn by_turns(&mut self, known: &[SocketAddr]) -> SocketAddr {
+    fn next_in_turn(&mut self, known: &[SocketAddr]) -> SocketAddr {
         self.turn += 1;
         known[self.turn % known.len()]
     }
 
-    /// All replicas that are known.
-    fn known(&self) -> Vec<SocketAddr> {
+    /// Returns the replicas of the group and the seeds.
+    fn known_replicas(&self) -> Vec<SocketAddr> {
         let mut known = self.group.replicas.clone();
         for seed in &self.seeds {
             if !known.contains(seed) {
@@ -176,9 +182,9 @@
         known
     }
 
-    /// A replica that serves the zone, when `current` is none of them.
+    /// Returns a replica that serves the zone, unless `current` serves it.
     pub fn nearer_replica(&self, now_ms: u64, current: SocketAddr) -> Option<SocketAddr> {
-        if self.serves_zone(current) { None } else { self.near(now_ms) }
+        if self.serves_zone(current) { None } else { self.zone_replica(now_ms) }
     }
 
     fn serves_zone(&self, address: SocketAddr) -> bool {
@@ -190,13 +196,14 @@
         false
     }
 
-    fn near(&self, now_ms: u64) -> Option<SocketAddr> {
+    /// Returns a replica that serves the zone and is not in backoff.
+    fn zone_replica(&self, now_ms: u64) -> Option<SocketAddr> {
         for server in &self.group.servers {
             if server.zone != self.zone {
                 continue;
             }
-            let avoided = self.avoided.get(&server.address);
-            if avoided.is_none_or(|avoided| avoided.until_ms <= now_ms) {
+            let backoff = self.backoffs.get(&server.address);
+            if backoff.is_none_or(|backoff| backoff.until_ms <= now_ms) {
                 return Some(server.address);
             }
         }
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP by `hyper`: a client that keeps connections, and a server with limits.
+//! HTTP over `hyper`: a client with a connection pool, and a server with limits.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -23,19 +23,19 @@
 use crate::metrics::{Counter, Metrics};
 use crate::wire::BoxFuture;
 
-/// The body of an answer; an error breaks the connection off, so that the answer is not taken for
-/// whole.
+/// The body of an answer. An error in it aborts the connection, so that the client does not take
+/// the answer to be complete.
 pub type AnswerBody = BoxBody<Bytes, Error>;
 
 /// An answer to a caller.
 pub type Answer = Response<AnswerBody>;
 
-/// A whole body.
+/// Builds a body from bytes in memory.
 pub fn full(body: impl Into<Bytes>) -> AnswerBody {
     Full::new(body.into()).map_err(|never: Infallible| match never {}).boxed()
 }
 
-/// An answer with a whole body.
+/// Builds an answer with a body in memory.
 pub fn answer(status: StatusCode, content_type: &str, body: impl Into<Bytes>) -> Answer {
     let mut answer = Response::new(full(body));
     *answer.status_mut() = status;
@@ -45,19 +45,19 @@
     answer
 }
 
-/// An answer in JSON.
+/// Builds an answer with a JSON body.
 pub fn json_answer(status: StatusCode, body: &serde_json::Value) -> Answer {
     answer(status, "application/json", body.to_string())
 }
 
-/// A client that keeps its connections open between requests.
+/// A client that keeps connections open for later requests.
 #[derive(Clone)]
 pub struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
 impl HttpClient {
-    /// A client that gives a connection up after `connect_timeout_ms`.
+    /// Creates a client whose attempts to connect fail after `connect_timeout_ms`.
     pub fn new(connect_timeout_ms: u64) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -65,17 +65,18 @@
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
             .pool_idle_timeout(Duration::from_secs(20))
-            // Only what was never begun to be written goes out again, on another connection: an endpoint
-            // may close a kept one just before it is used.
+            // An endpoint may close a pooled connection just before it is used. The request is sent
+            // again on another connection only if none of it was written.
             .retry_canceled_requests(true)
             .build(connector);
         Self { client }
     }
 
-    /// Sends a request and returns the answer's head; the body is still to be read.
+    /// Sends a request and returns the answer once its head has arrived.
     ///
     /// # Errors
-    /// "Not run" when no connection could be made or not a byte was written, unknown otherwise.
+    /// "Not run" if no connection could be made or no byte was written; otherwise it is unknown
+    /// whether the request ran.
     pub async fn send(&self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>> {
         let peer = request.uri().authority().map_or_else(String::new, ToString::to_string);
         self.client.request(request).await.map_err(|error| {
@@ -89,10 +90,11 @@
         })
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete answer.
     ///
     /// # Errors
-    /// As [`send`](Self::send); also an answer that is too large or not whole within `timeout_ms`.
+    /// As [`send`](Self::send); also an answer larger than `max_bytes` or not complete within
+    /// `timeout_ms`.
     pub async fn exchange(
         &self,
         request: Request<Full<Bytes>>,
@@ -114,10 +116,10 @@
             .map_err(|_| Error::timeout("exchange", peer.clone(), timeout_ms))?
     }
 
-    /// Reads `path` and returns the body of a successful answer.
+    /// Sends a GET request for `path` and returns the body of the answer.
     ///
     /// # Errors
-    /// As [`exchange`](Self::exchange); also any status but success.
+    /// As [`exchange`](Self::exchange); also a status other than success.
     pub async fn get(
         &self,
         address: SocketAddr,
@@ -137,7 +139,7 @@
 /// Builds a request to `address`.
 ///
 /// # Errors
-/// A path or content type that HTTP does not allow.
+/// The path or the content type is not valid in HTTP.
 pub fn request(
     method: Method,
     address: SocketAddr,
@@ -149,12 +151,12 @@
     if let Some(content_type) = content_type {
         builder = builder.header(http::header::CONTENT_TYPE, content_type);
     }
-    builder
-        .body(Full::new(body))
-        .map_err(|error| Error::invalid(format!("the request cannot be built: {error}")))
+    builder.body(Full::new(body)).map_err(|error| {
+        Error::invalid(format!("the request to {address} cannot be built: {error}"))
+    })
 }
 
-/// True when the connection ended before anything of the request was written to it.
+/// True if the connection ended before any byte of the request was written to it.
 fn is_unsent(error: &(dyn std::error::Error + 'static)) -> bool {
     let mut cause = Some(error);
     while let Some(found) = cause {
@@ -174,21 +176,21 @@
     cause.to_string()
 }
 
-/// Why a body could not be read.
+/// The reason why a body could not be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyFault {
-    /// It is larger than allowed.
+    /// The body is larger than allowed.
     TooLarge,
-    /// It did not arrive in time.
+    /// The body did not arrive in time.
     TooSlow,
-    /// The connection broke off.
+    /// The connection failed before the end of the body.
     Broken,
 }
 
-/// Reads a whole body within bounds.
+/// Reads a complete body, of at most `max_bytes`, within `timeout_ms`.
 ///
 /// # Errors
-/// The bound that was crossed.
+/// The limit that was exceeded, or a connection that failed.
 pub async fn read_body<B>(
     body: B,
     max_bytes: usize,
@@ -210,23 +212,23 @@
     }
 }
 
-/// What answers HTTP requests.
+/// A handler of HTTP requests.
 pub trait HttpHandler: Send + Sync + 'static {
-    /// Answers one request.
+    /// Answers a request.
     fn handle(&self, request: Request<Incoming>) -> BoxFuture<'static, Answer>;
 }
 
-/// Bounds of an HTTP server.
+/// Limits of an HTTP server.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerLimits {
-    /// Connections at once; more are closed at once.
+    /// The maximum number of open connections; further ones are closed immediately.
     pub connections: usize,
-    /// The largest set of request headers.
+    /// The maximum size of the request headers.
     pub header_max_bytes: usize,
-    /// The longest time for the headers to arrive.
+    /// The maximum time for the headers to arrive.
     pub header_timeout_ms: u64,
-    /// True when a client may close its sending side and still wait for the answer; otherwise it
-    /// counts as gone and its request is given up.
+    /// True if a client that has closed its sending side still receives its answer; otherwise it
+    /// counts as disconnected and its request is cancelled.
     pub half_close: bool,
 }
 
@@ -241,7 +243,7 @@
     }
 }
 
-/// Accepts connections until `stop` turns true, and returns once the open ones have ended.
+/// Accepts connections until `stop` becomes true, then waits for the open connections to end.
 pub async fn serve(
     listener: TcpListener,
     handler: Arc<dyn HttpHandler>,
@@ -276,7 +278,8 @@
         });
     }
     drop(listener);
-    // Every connection holds a permit, so all of them can be had once the last has ended.
+    // Each connection holds a permit, so all permits are available once the last connection has
+    // ended.
     let _ = open.acquire_many(limits.connections as u32).await;
 }
 
@@ -312,12 +315,12 @@
     }
 }
 
-/// Returns once `stop` turns true or its sender is gone.
+/// Returns once `stop` becomes true or its sender is dropped.
 pub async fn stopped(stop: &mut watch::Receiver<bool>) {
     let _ = stop.wait_for(|stop| *stop).await;
 }
 
-/// The value of a header as text.
+/// Returns the value of a header; `None` if it is missing or is not visible ASCII.
 pub fn header<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
 //! # winchvane
 //!
-//! A serving layer for very many LoRA adapters on few engines. It stands between callers and
-//! endpoints: it admits a request, finds or loads the adapter that the request names, and answers
-//! with the right reply, from the right adapter and version, to the right caller, exactly as often
-//! as promised, while adapters come and go and machines fail.
+//! A serving layer for many LoRA adapters on few engines. It runs between callers and endpoints: it
+//! admits a request, finds or loads the adapter that the request names, and returns the reply of
+//! that adapter and version to its caller. A request is run as often as was promised for it, also
+//! while adapters are loaded and unloaded and machines fail.
 //!
 //! Operators declare services by filling in templates:
 //!
@@ -17,8 +17,8 @@
 //! assert!(first.to_string().starts_with("quote.yaml:3: verison: unknown field"));
 //! ```
 //!
-//! Every decision is a state machine whose calls take the present time and give back what is to be
-//! done, so that a test or a measurement can drive it without clock, network or disk:
+//! Decisions are made by state machines. Their methods take the current time and return the actions
+//! to carry out, so that tests and benchmarks can drive them without a clock, a network or a disk:
 //!
 //! ```
 //! use winchvane::message::{AdapterKey, Priority};
@@ -39,14 +39,14 @@
 //! assert!(matches!(owner.take_effects()[..], [Effect::AskPermit { .. }]));
 //! ```
 //!
-//! ## Where to look
+//! ## Modules
 //!
-//! - [`control`]: the replicated log and what is kept in it.
-//! - [`gateway`]: the callers' side and the owners of endpoints.
+//! - [`control`]: the replicated log and the state kept in it.
+//! - [`gateway`]: the interface to callers, and the owners of endpoints.
 //! - [`policy`]: placement, loading, eviction, sharing and refusal.
-//! - [`document`] and [`settings`]: what operators write.
-//! - [`endpoint`]: the border towards engines and plain services.
-//! - [`wire`] and [`message`]: what the system's processes tell each other.
+//! - [`document`] and [`settings`]: the files that operators write.
+//! - [`endpoint`]: the interface to engines and plain services.
+//! - [`wire`] and [`message`]: the protocol between the processes of the system.
 
 pub mod admin;
 mod binary;
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,4 +1,5 @@
-//! Logs: one line of key=value pairs for each event, at a level that can be changed at run time.
+//! Logging in logfmt: one line of key=value pairs for each event. The level can be changed at run
+//! time.
 
 use std::sync::{Mutex, OnceLock, PoisonError};
 
@@ -13,9 +14,9 @@
 
 static FILTER: OnceLock<reload::Handle<EnvFilter, Registry>> = OnceLock::new();
 
-/// Lines that wait to be written; beyond them lines are dropped and counted, since a reader that has
-/// stopped must not stop the process.
-const LINES_WAITING_MAX: usize = 4_096;
+/// Capacity of the buffer of lines to be written. Lines beyond it are dropped and counted, so that
+/// the process does not block when the reader of its output has stopped.
+const MAX_BUFFERED_LINES: usize = 4_096;
 
 static DROPPED: OnceLock<ErrorCounter> = OnceLock::new();
 static WRITER: Mutex<Option<WorkerGuard>> = Mutex::new(None);
@@ -23,11 +24,11 @@
 /// Starts logging to standard output at `level`, such as `info` or `info,winchvane::wire=debug`.
 ///
 /// # Errors
-/// A level that cannot be read, or a second call in one process.
+/// A level that cannot be parsed, or a second call in the same process.
 pub fn start(level: &str) -> Result<()> {
     let (writer, guard) = NonBlockingBuilder::default()
         .lossy(true)
-        .buffered_lines_limit(LINES_WAITING_MAX)
+        .buffered_lines_limit(MAX_BUFFERED_LINES)
         .finish(std::io::stdout());
     let _ = DROPPED.set(writer.error_counter());
     *WRITER.lock().unwrap_or_else(PoisonError::into_inner) = Some(guard);
@@ -45,10 +46,10 @@
     Ok(())
 }
 
-/// Changes the level of the running process.
+/// Changes the log level of the process. Does nothing if logging has not been started.
 ///
 /// # Errors
-/// A level that cannot be read.
+/// A level that cannot be parsed.
 pub fn set_level(level: &str) -> Result<()> {
     let filter = parse(level)?;
     let Some(handle) = FILTER.get() else { return Ok(()) };
@@ -57,12 +58,12 @@
         .map_err(|error| Error::invalid(format!("the level cannot be changed: {error}")))
 }
 
-/// Writes what waits; called right before a process ends, after which nothing is logged.
+/// Writes the buffered lines and ends logging; called right before the process exits.
 pub fn finish() {
     drop(WRITER.lock().unwrap_or_else(PoisonError::into_inner).take());
 }
 
-/// Lines that were dropped because too many waited.
+/// The number of lines dropped because the buffer was full.
 pub fn dropped_lines() -> u64 {
     DROPPED.get().map_or(0, |dropped| dropped.dropped_lines() as u64)
 }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,5 +1,6 @@
-//! Counters, gauges and timers: kept for the state dump, served as text, and sent as statsd lines
-//! over UDP where an address is given.
+//! Metrics of a process: counters, gauges and timers. They are included in the state dump, served
+//! in the Prometheus text format and, if an address is configured, sent over UDP in the statsd
+//! format.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
@@ -12,26 +13,27 @@
 
 use crate::error::{Error, Result};
 
-macro_rules! figures {
-    ($(#[doc = $about:literal])* $kind:ident: $($(#[doc = $doc:literal])* $variant:ident => $name:literal,)*) => {
-        $(#[doc = $about])*
+/// Defines an enum of metrics with their names. The doc comment of a variant is its help text.
+macro_rules! define_metrics {
+    ($(#[doc = $enum_doc:literal])* $kind:ident: $($(#[doc = $doc:literal])* $variant:ident => $name:literal,)*) => {
+        $(#[doc = $enum_doc])*
         #[derive(Debug, Clone, Copy, PartialEq, Eq)]
         pub enum $kind {
             $($(#[doc = $doc])* $variant,)*
         }
 
         impl $kind {
-            /// All of them.
+            /// All variants.
             pub const ALL: &'static [Self] = &[$(Self::$variant,)*];
 
-            /// The name under which it is sent.
+            /// The name of the metric.
             pub fn name(self) -> &'static str {
                 match self {
                     $(Self::$variant => $name,)*
                 }
             }
 
-            /// What it tells, in one line.
+            /// The help text of the metric.
             pub fn help(self) -> &'static str {
                 match self {
                     $(Self::$variant => concat!($($doc,)*).trim_ascii(),)*
@@ -41,111 +43,111 @@
     };
 }
 
-figures! {
-    /// What is counted.
+define_metrics! {
+    /// A counter.
     Counter:
-    /// Requests that callers sent.
+    /// Requests received from callers.
     RequestsReceived => "requests.received",
-    /// Requests that got an endpoint's whole answer.
+    /// Requests that received the complete answer of an endpoint.
     RequestsAnswered => "requests.answered",
-    /// Requests refused before any endpoint started them.
+    /// Requests refused before an endpoint started them.
     RequestsRefused => "requests.refused",
-    /// Requests that failed with an unknown outcome.
+    /// Requests that failed and may have run.
     RequestsUnknown => "requests.unknown",
     /// Requests whose input the caller has to correct.
     RequestsInvalid => "requests.invalid",
-    /// Requests taken back from endpoints where they had not begun when their weights were due.
+    /// Requests withdrawn from endpoints that had not started them when newer weights were due.
     RequestsTakenBack => "requests.taken_back",
-    /// Requests refused since endpoints ended under others like them.
+    /// Requests refused because requests with the same content are suspected of crashing endpoints.
     RequestsHeld => "requests.held",
-    /// Requests refused since the endpoints that could take them limit what they take.
+    /// Requests refused because the endpoints that could run them limit the requests they accept.
     RequestsLimited => "requests.limited",
-    /// Requests refused since the endpoints that could take them asked for backoff.
+    /// Requests refused because the endpoints that could run them asked for backoff.
     RequestsBackingOff => "requests.backing_off",
-    /// Requests refused since their keys let nobody in.
+    /// Requests refused because they carried no valid API key.
     RequestsUnauthorized => "requests.unauthorized",
-    /// Requests refused since their workspaces asked for more than their quotas.
+    /// Requests refused because their workspaces exceeded their quotas.
     RequestsOverQuota => "requests.over_quota",
-    /// Requests refused since keys or quotas were not known for certain.
+    /// Requests refused because the current API keys or quotas were not known.
     RequestsNotAdmitted => "requests.not_admitted",
     /// Requests answered from the run ledger.
     RequestsReplayed => "requests.replayed",
     /// Requests tried again on another endpoint.
     RequestsRetried => "requests.retried",
-    /// Retries that the retry budget did not allow.
+    /// Retries that the retry budget did not permit.
     RetriesDenied => "requests.retries_denied",
-    /// Requests refused since the configuration could not be confirmed.
+    /// Requests refused because the configuration could not be confirmed as current.
     NotFresh => "requests.not_fresh",
-    /// Callers that went away before their answer was whole.
+    /// Callers that disconnected before their answer was complete.
     CallersGone => "requests.callers_gone",
-    /// Answers from another adapter or version than named, which were not passed on.
+    /// Answers discarded because they came from another adapter or version than requested.
     WrongAdapter => "endpoints.wrong_adapter",
-    /// Answers that began on weights known to be older than the version that was due by then.
+    /// Answers that were started on weights older than the version known to be due by then.
     OutdatedWeights => "endpoints.outdated_weights",
     /// Adapters loaded.
     LoadsDone => "endpoints.loads_done",
-    /// Loads that failed.
+    /// Adapter loads that failed.
     LoadsFailed => "endpoints.loads_failed",
     /// Adapters unloaded.
     Unloads => "endpoints.unloads",
-    /// Endpoints taken over from a gateway that is gone.
+    /// Endpoints that this gateway became the owner of.
     Takeovers => "endpoints.takeovers",
-    /// Engines that came back with another boot id.
+    /// Engine restarts, detected by a changed boot id.
     EngineRestarts => "endpoints.engine_restarts",
-    /// Endpoints that ended under requests.
+    /// Endpoints that ended while they ran requests.
     EndpointsEnded => "endpoints.ended",
-    /// Connections of callers that were not HTTP.
+    /// Connections of callers that failed or were refused at the connection limit.
     CallerConnectionFailed => "callers.connection_failed",
-    /// Connections of peers that were not h2.
+    /// Connections of peers whose h2 handshake failed.
     PeerHandshakeFailed => "peers.handshake_failed",
-    /// Streams of peers with another wire version or purpose.
+    /// Streams of peers refused for an unsupported wire version or an unknown channel.
     PeerRefused => "peers.refused",
     /// Sessions with control that ended.
     SessionsEnded => "control.sessions_ended",
-    /// Entries applied from the log.
+    /// Log entries applied to the state.
     EntriesApplied => "control.entries_applied",
-    /// Syncs of the log.
+    /// Syncs of the log to disk.
     LogSyncs => "control.log_syncs",
-    /// Rounds of storing, sending and applying.
+    /// Rounds in which a replica stores, sends and applies log entries.
     Flushes => "control.flushes",
     /// Elections won.
     ElectionsWon => "control.elections_won",
-    /// Gateways whose lease ran out.
+    /// Gateways whose lease expired.
     GatewaysExpired => "control.gateways_expired",
-    /// Snapshots written.
+    /// Snapshots of the state written.
     SnapshotsWritten => "control.snapshots_written",
 }
 
-figures! {
-    /// What is timed, in milliseconds.
+define_metrics! {
+    /// A timer, in milliseconds.
     Timer:
-    /// From a request's arrival to its first byte of answer.
+    /// Time from a request's arrival to the first byte of its answer.
     FirstByte => "requests.first_byte",
-    /// The wait for an adapter's load.
+    /// Time that a request waited for its adapter to be loaded.
     LoadWait => "requests.load_wait",
-    /// A load itself.
+    /// Duration of an adapter load.
     Load => "endpoints.load",
-    /// A sync of the log.
+    /// Duration of a sync of the log to disk.
     LogSync => "control.log_sync",
 }
 
-/// Upper bounds of the histograms' buckets in milliseconds: the latency objectives of the users lie
-/// between 70 ms and a second.
+/// Upper bounds of the histogram buckets in milliseconds. The users' latency objectives are between
+/// 70 ms and 1 s.
 const BUCKETS_MS: [f64; 14] =
     [1.0, 2.0, 5.0, 10.0, 20.0, 50.0, 70.0, 150.0, 300.0, 600.0, 920.0, 2_000.0, 5_000.0, 20_000.0];
 
-figures! {
-    /// What is shown as a level.
+define_metrics! {
+    /// A gauge.
     Gauge:
     /// Requests in progress at this gateway.
     RequestsInProgress => "requests.in_progress",
-    /// Endpoints owned.
+    /// Endpoints owned by this gateway.
     EndpointsOwned => "endpoints.owned",
-    /// Services known.
+    /// Services in the known configuration.
     Services => "config.services",
 }
 
-/// The process's metrics; clones share the same counts.
+/// The metrics of a process. Clones share the same values.
 #[derive(Clone)]
 pub struct Metrics(Arc<Inner>);
 
@@ -158,10 +160,11 @@
 }
 
 impl Metrics {
-    /// Metrics sent to `address`, or only counted when there is none.
+    /// Creates metrics that are sent to `address`, if there is one. `prefix` precedes the names
+    /// sent there.
     ///
     /// # Errors
-    /// No UDP socket could be opened.
+    /// The UDP socket cannot be opened.
     pub fn new(prefix: &str, address: Option<SocketAddr>) -> Result<Self> {
         let client = match address {
             None => StatsdClient::from_sink(prefix, NopMetricSink),
@@ -186,69 +189,70 @@
             .set_buckets(&BUCKETS_MS)
             .map_err(|error| Error::invalid(format!("the buckets are not valid: {error}")))?
             .build_recorder();
-        let histograms = Timer::ALL.iter().map(|timer| histogram(&recorder, *timer)).collect();
+        let histograms =
+            Timer::ALL.iter().map(|timer| register_histogram(&recorder, *timer)).collect();
         let text = recorder.handle();
         Ok(Self(Arc::new(Inner { client, counts, gauges, histograms, text })))
     }
 
-    /// Everything as text, one line a figure, in the format that Prometheus reads.
+    /// Renders all metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         let mut text = self.0.text.render();
         for counter in Counter::ALL {
             let value = self.total(*counter);
-            text.push_str(&text_lines(counter.name(), "counter", counter.help(), value));
+            text.push_str(&prometheus_lines(counter.name(), "counter", counter.help(), value));
         }
         for gauge in Gauge::ALL {
             let value = self.0.gauges[*gauge as usize].load(Ordering::Relaxed);
-            text.push_str(&text_lines(gauge.name(), "gauge", gauge.help(), value));
+            text.push_str(&prometheus_lines(gauge.name(), "gauge", gauge.help(), value));
         }
         let dropped = crate::logging::dropped_lines();
-        let help = "Log lines that nobody read in time.";
-        text.push_str(&text_lines("log_lines_dropped", "counter", help, dropped));
+        let help = "Log lines dropped because the buffer was full.";
+        text.push_str(&prometheus_lines("log_lines_dropped", "counter", help, dropped));
         text.push_str(&crate::traffic::text());
         text
     }
 
-    /// Moves recent durations into their histograms; they pile up until then.
-    pub fn tidy(&self) {
+    /// Merges recent durations into their histograms. Without this call they accumulate in memory.
+    pub fn run_upkeep(&self) {
         self.0.text.run_upkeep();
     }
 
-    /// Metrics that are only counted.
+    /// Creates metrics that are not sent anywhere.
     pub fn local() -> Self {
-        Self::new("winchvane", None).expect("no socket is needed")
+        Self::new("winchvane", None).expect("metrics without an address need no socket")
     }
 
-    /// Counts one.
+    /// Adds one to a counter.
     pub fn count(&self, counter: Counter) {
         self.count_many(counter, 1);
     }
 
-    /// Counts several.
+    /// Adds `number` to a counter.
     pub fn count_many(&self, counter: Counter, number: u64) {
         self.0.counts[counter as usize].fetch_add(number, Ordering::Relaxed);
-        // A metric that cannot be sent must not disturb the work it tells about.
+        // A failure to send a metric must not affect the work that is measured.
         let _ = self.0.client.count(counter.name(), i64::try_from(number).unwrap_or(i64::MAX));
     }
 
-    /// Reports a duration.
+    /// Records a duration.
     pub fn time(&self, timer: Timer, duration_ms: u64) {
         self.0.histograms[timer as usize].record(duration_ms as f64);
         let _ = self.0.client.time(timer.name(), duration_ms);
     }
 
-    /// Reports a level.
+    /// Sets a gauge.
     pub fn gauge(&self, gauge: Gauge, value: u64) {
         self.0.gauges[gauge as usize].store(value, Ordering::Relaxed);
         let _ = self.0.client.gauge(gauge.name(), value);
     }
 
-    /// The count so far.
+    /// Returns the value of a counter.
     pub fn total(&self, counter: Counter) -> u64 {
         self.0.counts[counter as usize].load(Ordering::Relaxed)
     }
 
-    /// All counts, for the state dump.
+    /// Returns the values of all counters by name, for the state dump.
     pub fn totals(&self) -> serde_json::Map<String, serde_json::Value> {
         let mut totals = serde_json::Map::new();
         for counter in Counter::ALL {
@@ -258,19 +262,19 @@
     }
 }
 
-fn histogram(recorder: &PrometheusRecorder, timer: Timer) -> Histogram {
-    let name = format!("{}_ms", text_name(timer.name()));
+fn register_histogram(recorder: &PrometheusRecorder, timer: Timer) -> Histogram {
+    let name = format!("{}_ms", prometheus_name(timer.name()));
     recorder.describe_histogram(name.clone().into(), None, timer.help().into());
     let key = Key::from_parts(name, Vec::<Label>::new());
     recorder.register_histogram(&key, &Metadata::new(module_path!(), Level::INFO, None))
 }
 
-/// `requests.first_byte` as `winchvane_requests_first_byte`.
-fn text_name(name: &str) -> String {
+/// Converts a name to Prometheus: `requests.first_byte` becomes `winchvane_requests_first_byte`.
+fn prometheus_name(name: &str) -> String {
     format!("winchvane_{}", name.replace('.', "_"))
 }
 
-fn text_lines(name: &str, kind: &str, help: &str, value: u64) -> String {
-    let name = text_name(name);
+fn prometheus_lines(name: &str, kind: &str, help: &str, value: u64) -> String {
+    let name = prometheus_name(name);
     format!("# HELP {name} {help}\n# TYPE {name} {kind}\n{name} {value}\n")
 }
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -1,4 +1,5 @@
-//! The operator's side: declarations read from files, and calls to a gateway's admin listener.
+//! Functions of the `winchvane` command: reading declarations from files, calling admin listeners
+//! and formatting the answers.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -19,14 +20,14 @@
 const CALL_TIMEOUT_MS: u64 = 30_000;
 const ANSWER_MAX_BYTES: usize = 256 << 20;
 
-/// Reads every declaration in the files and folders of `paths`, and checks them together.
+/// Reads all declarations in the files and folders `paths` and checks them together.
 ///
 /// # Errors
-/// Every fault, with its file and line.
+/// All faults, with their files and lines.
 pub fn read_declarations(paths: &[PathBuf]) -> std::result::Result<Vec<Located>, Vec<Fault>> {
     let mut faults = Faults::new();
     let mut documents = Vec::new();
-    for path in files(paths, &mut faults) {
+    for path in list_files(paths, &mut faults) {
         let file: Arc<str> = path.display().to_string().into();
         match std::fs::read_to_string(&path) {
             Ok(text) => documents.extend(parse(&file, &text, &mut faults)),
@@ -41,11 +42,12 @@
     if faults.is_empty() { Ok(documents) } else { Err(faults.into_vec()) }
 }
 
-fn files(paths: &[PathBuf], faults: &mut Faults) -> Vec<PathBuf> {
+/// Lists the files in `paths`, and the YAML files in the folders among them.
+fn list_files(paths: &[PathBuf], faults: &mut Faults) -> Vec<PathBuf> {
     let mut files = Vec::new();
     for path in paths {
         if path.is_dir() {
-            list_folder(path, &mut files, faults);
+            add_folder(path, &mut files, faults);
         } else {
             files.push(path.clone());
         }
@@ -55,7 +57,8 @@
     files
 }
 
-fn list_folder(folder: &Path, files: &mut Vec<PathBuf>, faults: &mut Faults) {
+/// Adds the YAML files of `folder` and its subfolders, except hidden ones.
+fn add_folder(folder: &Path, files: &mut Vec<PathBuf>, faults: &mut Faults) {
     let entries = match std::fs::read_dir(folder) {
         Ok(entries) => entries,
         Err(error) => {
@@ -71,7 +74,7 @@
             continue;
         }
         if path.is_dir() {
-            list_folder(&path, files, faults);
+            add_folder(&path, files, faults);
             continue;
         }
         let extension = path.extension().and_then(|extension| extension.to_str());
@@ -81,22 +84,22 @@
     }
 }
 
-/// Calls to the admin listener of a gateway or of control.
+/// A client of the admin listeners of gateways and control replicas.
 pub struct AdminClient {
     client: HttpClient,
     servers: Vec<SocketAddr>,
 }
 
 impl AdminClient {
-    /// A client that tries `servers` in turn until one can be reached.
+    /// Creates a client that tries `servers` in turn until one can be reached.
     pub fn new(servers: Vec<SocketAddr>) -> Self {
         Self { client: HttpClient::new(CONNECT_TIMEOUT_MS), servers }
     }
 
-    /// Sends a request and returns the answer's status and JSON.
+    /// Sends a request and returns the status and the JSON body of the answer.
     ///
     /// # Errors
-    /// No server could be reached, or one gave no JSON.
+    /// No server could be reached, a server failed, or its answer is not JSON.
     pub async fn call(
         &self,
         method: Method,
@@ -107,7 +110,7 @@
         for server in &self.servers {
             match self.call_one(*server, method.clone(), path, body).await {
                 Ok(answer) => return Ok(answer),
-                // A server that may have acted is not passed over in silence.
+                // The server may have carried out the request, so it is not sent to another one.
                 Err(error) if error.is_not_run() => failure = error,
                 Err(error) => return Err(error),
             }
@@ -137,17 +140,17 @@
     }
 }
 
-/// `value` as YAML text.
+/// Formats `value` as YAML.
 pub fn to_yaml(value: &Value) -> String {
     let mut text = String::new();
-    if YamlEmitter::new(&mut text).dump(&yaml_of(value)).is_err() {
+    if YamlEmitter::new(&mut text).dump(&to_yaml_node(value)).is_err() {
         return value.to_string();
     }
     text.push('\n');
     text
 }
 
-fn yaml_of(value: &Value) -> Yaml<'static> {
+fn to_yaml_node(value: &Value) -> Yaml<'static> {
     match value {
         Value::Null => Yaml::Value(Scalar::Null),
         Value::Bool(value) => Yaml::Value(Scalar::Boolean(*value)),
@@ -156,18 +159,19 @@
             None => Yaml::Value(Scalar::FloatingPoint(number.as_f64().unwrap_or(0.0).into())),
         },
         Value::String(text) => Yaml::Value(Scalar::String(text.clone().into())),
-        Value::Array(items) => Yaml::Sequence(items.iter().map(yaml_of).collect()),
+        Value::Array(items) => Yaml::Sequence(items.iter().map(to_yaml_node).collect()),
         Value::Object(fields) => {
             let mut mapping = Mapping::new();
             for (name, value) in fields {
-                mapping.insert(Yaml::Value(Scalar::String(name.clone().into())), yaml_of(value));
+                mapping
+                    .insert(Yaml::Value(Scalar::String(name.clone().into())), to_yaml_node(value));
             }
             Yaml::Mapping(mapping)
         }
     }
 }
 
-/// Rows as a table with aligned columns.
+/// Formats rows as a table with aligned columns.
 pub fn to_table(header: &[&str], rows: &[Vec<String>]) -> String {
     let mut widths: Vec<usize> = header.iter().map(|name| name.len()).collect();
     for row in rows {
--- a/src/process.rs
+++ b/src/process.rs
@@ -1,4 +1,4 @@
-//! How every process of the system starts: arguments, checked settings, logs, listeners.
+//! Startup shared by the processes of the system: arguments, settings, logging and listeners.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -15,12 +15,12 @@
 use crate::settings::load;
 use crate::yaml::Fault;
 
-/// Exit status for settings that are wrong.
+/// Exit status for invalid settings.
 pub const EXIT_SETTINGS: u8 = 2;
 /// Exit status of a replica whose disk failed or whose log is damaged.
 pub const EXIT_STORAGE: u8 = 3;
 
-/// The arguments of a process.
+/// The command-line arguments of a process.
 #[derive(Args)]
 pub struct ProcessArguments {
     /// The settings file.
@@ -31,15 +31,15 @@
     check_settings: bool,
 }
 
-/// Reads the settings with `parse`, starts logging at the level that `log_level` finds in them, and
-/// runs the process to its end.
+/// Reads the settings with `parse`, starts logging at the level that `log_level` returns for them,
+/// and runs the process until it ends.
 pub async fn start<T: 'static, R: Future<Output = Result<()>>>(
     arguments: ProcessArguments,
     parse: fn(&Arc<str>, &str) -> std::result::Result<T, Vec<Fault>>,
     log_level: fn(&T) -> &str,
     run: impl FnOnce(T) -> R,
 ) -> ExitCode {
-    // Watched before anything else: until then a SIGHUP ends the process.
+    // The handler is installed first: until then, a SIGHUP kills the process.
     let hang_up = signal(SignalKind::hangup());
     let settings = match load(&arguments.settings, parse) {
         Ok(settings) => settings,
@@ -70,8 +70,8 @@
     code
 }
 
-/// Reads the settings again on each SIGHUP and takes the log level over; everything else holds from
-/// the start of a process to its end.
+/// Reads the settings again on each SIGHUP and applies the log level. All other settings take
+/// effect only at the start of the process.
 async fn reload<T: 'static>(
     hang_up: std::io::Result<Signal>,
     path: PathBuf,
@@ -100,10 +100,10 @@
     }
 }
 
-/// Opens a listener.
+/// Opens a TCP listener.
 ///
 /// # Errors
-/// The address is taken or not this machine's.
+/// The address is in use or does not belong to this machine.
 pub async fn listen(step: &'static str, address: SocketAddr) -> Result<TcpListener> {
     TcpListener::bind(address).await.map_err(|error| Error::io(step, address.to_string(), error))
 }
--- a/src/traffic.rs
+++ b/src/traffic.rs
@@ -1,50 +1,50 @@
-//! How many messages of each kind this process has sent to others of the system.
+//! Counters of the messages that this process has sent to other processes of the system, by kind.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::sync::{Mutex, PoisonError};
 
-/// Messages of one kind and their bytes, without what `h2`, TCP and IP put around them.
+/// The messages of one kind sent so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Sent {
-    /// Messages.
+pub struct MessageTotals {
+    /// The number of messages.
     pub messages: u64,
-    /// Their bytes.
+    /// Their total size, without the overhead of `h2`, TCP and IP.
     pub size_bytes: u64,
 }
 
-static SENT: Mutex<BTreeMap<&'static str, Sent>> = Mutex::new(BTreeMap::new());
+static TOTALS: Mutex<BTreeMap<&'static str, MessageTotals>> = Mutex::new(BTreeMap::new());
 
 /// Counts a message of `size_bytes`.
 pub fn count(kind: &'static str, size_bytes: usize) {
-    let mut table = SENT.lock().unwrap_or_else(PoisonError::into_inner);
-    let sent = table.entry(kind).or_default();
-    sent.messages += 1;
-    sent.size_bytes += size_bytes as u64;
+    let mut table = TOTALS.lock().unwrap_or_else(PoisonError::into_inner);
+    let total = table.entry(kind).or_default();
+    total.messages += 1;
+    total.size_bytes += size_bytes as u64;
 }
 
-/// What was sent so far, by kind.
-pub fn sent() -> BTreeMap<&'static str, Sent> {
-    SENT.lock().unwrap_or_else(PoisonError::into_inner).clone()
+/// Returns the totals by message kind.
+pub fn totals() -> BTreeMap<&'static str, MessageTotals> {
+    TOTALS.lock().unwrap_or_else(PoisonError::into_inner).clone()
 }
 
-/// The same as text, one line a figure, in the format that Prometheus reads.
+/// Renders the totals in the Prometheus text format.
 pub fn text() -> String {
     let mut text = String::from(
         "# HELP winchvane_peer_messages Messages sent to other processes of the system, by kind.\n\
          # TYPE winchvane_peer_messages counter\n",
     );
-    let table = sent();
-    for (kind, sent) in &table {
-        // Writing to a string cannot fail.
-        let _ = writeln!(text, "winchvane_peer_messages{{message=\"{kind}\"}} {}", sent.messages);
+    let table = totals();
+    for (kind, total) in &table {
+        // Writing to a `String` cannot fail.
+        let _ = writeln!(text, "winchvane_peer_messages{{message=\"{kind}\"}} {}", total.messages);
     }
     text.push_str(
-        "# HELP winchvane_peer_bytes Bytes of these messages, without those of h2, TCP and IP.\n\
+        "# HELP winchvane_peer_bytes Bytes of these messages, without h2, TCP and IP overhead.\n\
          # TYPE winchvane_peer_bytes counter\n",
     );
-    for (kind, sent) in &table {
-        let _ = writeln!(text, "winchvane_peer_bytes{{message=\"{kind}\"}} {}", sent.size_bytes);
+    for (kind, total) in &table {
+        let _ = writeln!(text, "winchvane_peer_bytes{{message=\"{kind}\"}} {}", total.size_bytes);
     }
     text
 }
--- a/tests/free_ports.rs
+++ b/tests/free_ports.rs
@@ -1,10 +1,11 @@
-//! A port that was found free can be listened on at once.
+//! Ports returned by `free_ports` can be listened on at once.
 //!
-//! A replica ended at its start with "address already in use" at a port that had just been found free, once, beside load. The order
-//! of events: one thread opens a listener to try the port and closes it; meanwhile another thread starts a process, which
-//! shares all open descriptors until it begins its own program; so the port stays in use after the listener was
-//! closed. Evidence: eight threads that start programs, and one that tries ports: 2,407 of 398,941 were in use
-//! right after they were free, for up to 26 ms.
+//! Guards against "address already in use" at a port that was just found free, with which a replica
+//! once failed to start under load: one thread probes the port with a listener and closes it;
+//! meanwhile another thread starts a process, which shares all open descriptors until it executes
+//! its program, so that the port stays in use after the listener was closed. With eight threads
+//! that start programs and one that probes ports, 2,407 of 398,941 ports were in use right after
+//! they were free, for up to 26 ms.
 
 use std::net::{Ipv4Addr, TcpListener};
 use std::process::Command;
@@ -14,14 +15,14 @@
 
 use winchvane_standin::ports::free_ports;
 
-const STARTING_THREADS: usize = 8;
-const LENGTH: Duration = Duration::from_secs(3);
+const PROCESS_STARTING_THREADS: usize = 8;
+const TEST_DURATION: Duration = Duration::from_secs(3);
 
 #[test]
 fn a_free_port_is_free_while_other_threads_start_processes() {
     let stop = Arc::new(AtomicBool::new(false));
     let mut threads = Vec::new();
-    for _ in 0..STARTING_THREADS {
+    for _ in 0..PROCESS_STARTING_THREADS {
         let stop = stop.clone();
         threads.push(std::thread::spawn(move || {
             while !stop.load(Ordering::Relaxed) {
@@ -31,7 +32,7 @@
     }
     let started = Instant::now();
     let mut in_use = Vec::new();
-    while started.elapsed() < LENGTH {
+    while started.elapsed() < TEST_DURATION {
         let port = free_ports(1)[0];
         if let Err(error) = TcpListener::bind((Ipv4Addr::LOCALHOST, port)) {
             in_use.push((port, error));
@@ -39,7 +40,12 @@
     }
     stop.store(true, Ordering::Relaxed);
     for thread in threads {
-        thread.join().expect("it does not panic");
+        thread.join().expect("the thread does not panic");
     }
-    assert!(in_use.is_empty(), "{} ports, the first {:?}", in_use.len(), in_use.first());
+    assert!(
+        in_use.is_empty(),
+        "{} free ports were in use, the first {:?}",
+        in_use.len(),
+        in_use.first()
+    );
 }
--- a/tests/http_client.rs
+++ b/tests/http_client.rs
@@ -1,4 +1,4 @@
-//! The client of endpoints' HTTP interfaces, where connections end under it.
+//! The HTTP client, when endpoints close its pooled connections.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,7 +12,7 @@
 
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
 
-/// Reads one request and answers it, or tells that the connection ended first.
+/// Reads one request and answers it; false if the connection ended first.
 fn answer_one(stream: &mut TcpStream) -> bool {
     let mut read = Vec::new();
     let mut buffer = [0; 1 << 10];
@@ -25,7 +25,7 @@
     stream.write_all(ANSWER).is_ok()
 }
 
-/// Answers one request on one connection, and closes it once told to.
+/// A server that answers one request on one connection and keeps the connection open until `close`.
 struct Server {
     close: Sender<()>,
     thread: JoinHandle<bool>,
@@ -33,21 +33,21 @@
 
 impl Server {
     fn start(listener: TcpListener) -> Self {
-        let (close, told) = std::sync::mpsc::channel();
+        let (close, closed) = std::sync::mpsc::channel();
         let thread = std::thread::spawn(move || {
             let Ok((mut stream, _)) = listener.accept() else { return false };
             let is_answered = answer_one(&mut stream);
-            // A dropped sender closes the connection like a message.
-            let _ = told.recv();
+            // Returns once the sender is dropped.
+            let _ = closed.recv();
             is_answered
         });
         Self { close, thread }
     }
 
-    /// Closes the connection; true when its request was answered.
+    /// Closes the connection; true if its request was answered.
     fn close(self) -> bool {
         drop(self.close);
-        self.thread.join().expect("the server ends")
+        self.thread.join().expect("the server thread does not panic")
     }
 }
 
@@ -56,43 +56,43 @@
     client.exchange(call, 5_000, 1 << 10).await.map(|(status, _)| status)
 }
 
-/// What users saw: 502 `outcome_unknown`, "step=send request: connection closed", for a call of which
-/// no byte was ever written; one that may not be repeated was lost for good, its key unknown for ever.
-/// Order of events: an endpoint answers, closes the kept connection, and the next call takes that
-/// connection from the pool before its end was read.
-/// Cause: every failure but that of a connect counted as one that may have run.
-/// Evidence: the answer quoted above, from `an_endpoint_that_died_is_avoided_while_the_list_calls_it_live`
-/// beside 24 loops that use processor time; the client tells such a request from one that was written.
+/// Guards against 502 `outcome_unknown` ("step=send request: connection closed") for a call of
+/// which no byte was written: an endpoint answers and closes the pooled connection, and the next
+/// call takes it from the pool before the client has read its end. Every failure except a failed
+/// connect counted as one after which the call may have run, so a call that is not repeatable was
+/// lost and the outcome of its key stayed unknown. This was seen in a test beside 24 loops that
+/// used processor time.
 #[tokio::test(flavor = "current_thread")]
 async fn a_call_on_a_kept_connection_that_was_closed_is_sent_on_a_new_one() {
     let (client, listener) = client_with_a_closed_connection().await;
-    let address = listener.local_addr().expect("it is bound");
+    let address = listener.local_addr().expect("the listener is bound");
     let next = Server::start(listener);
     assert_eq!(exchange(&client, address).await.expect("an answer"), StatusCode::OK);
     assert!(next.close());
 }
 
-/// The same with nobody there any more: the call has not run, and it must say so.
+/// As above, but the endpoint no longer listens: the error must say that the call has not run.
 #[tokio::test(flavor = "current_thread")]
 async fn a_call_on_a_closed_connection_to_an_endpoint_that_ended_has_not_run() {
     let (client, listener) = client_with_a_closed_connection().await;
-    let address = listener.local_addr().expect("it is bound");
+    let address = listener.local_addr().expect("the listener is bound");
     drop(listener);
-    let error = exchange(&client, address).await.expect_err("nobody answers");
+    let error = exchange(&client, address).await.expect_err("no endpoint listens");
     assert!(error.is_not_run(), "{error}");
 }
 
-/// A client that keeps a connection to the listener, closed over there without having read that yet.
+/// Returns a client with a pooled connection to the listener, which the server has closed while the
+/// client has not read the end of it.
 async fn client_with_a_closed_connection() -> (HttpClient, TcpListener) {
     let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a port is free");
-    let address = listener.local_addr().expect("it is bound");
-    let server = Server::start(listener.try_clone().expect("it can be shared"));
+    let address = listener.local_addr().expect("the listener is bound");
+    let server = Server::start(listener.try_clone().expect("the listener can be cloned"));
     let client = HttpClient::new(1_000);
     assert_eq!(exchange(&client, address).await.expect("an answer"), StatusCode::OK);
-    // The connection goes back to the pool meanwhile.
+    // Lets the connection return to the pool.
     tokio::time::sleep(Duration::from_millis(50)).await;
-    // This thread is busy until after the pause's end, so that the next call is made between the
-    // arrival of the connection's end and its reading.
+    // The task blocks the only thread until after the pause below, so that the next call is made
+    // after the end of the connection has arrived and before it is read.
     let busy = tokio::spawn(async move {
         assert!(server.close());
         std::thread::sleep(Duration::from_millis(50));
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's command against a real region: what it prints and its exit status.
+//! The `winchvane` command against a running region: its output and its exit status.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -18,7 +18,7 @@
         path
     }
 
-    /// Runs the command; its exit status and what it printed.
+    /// Runs the command; returns its exit status, and its standard output and error together.
     fn run(&self, arguments: &[&str]) -> (i32, String) {
         let output = Command::new(env!("CARGO_BIN_EXE_winchvane"))
             .args(["--server", &self.server])
@@ -36,12 +36,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_operators_command_does_what_its_page_says() {
+async fn commands_print_results_and_return_exit_statuses() {
     let gateway = Path::new(env!("CARGO_BIN_EXE_winchvane-gateway"));
-    let bin_folder = gateway.parent().expect("programs are in a folder").to_owned();
+    let bin_folder = gateway.parent().expect("the program is in a folder").to_owned();
     let region = Region::start(RegionOptions { bin_folder, ..RegionOptions::default() }).await;
     let folder = TempDir::new().expect("a folder can be made");
-    // The first server does not answer, so the second is asked.
+    // Nothing listens at the first server, so the second one is used.
     let server = format!("127.0.0.1:1,{}", region.admin(1));
     let operator = Operator { folder, server };
     let file = operator.write("all.yaml", DECLARATIONS);
@@ -69,7 +69,7 @@
     let (status, printed) = operator.run(&["apply", "-f", text(&broken)]);
     assert!(status == 2 && printed.contains("broken.yaml:3: versoin: unknown field"), "{printed}");
 
-    // What is printed can be applied again.
+    // The output of `get` can be applied again.
     let (status, printed) = operator.run(&["get", "-o", "yaml"]);
     assert_eq!(status, 0);
     let printed = operator.write("printed.yaml", &printed);
@@ -83,7 +83,7 @@
     assert!(status == 0 && printed.contains("\"endpoints_owned\""), "{printed}");
     let (status, _) = operator.run(&["log-level", "debug"]);
     assert_eq!(status, 0);
-    wait_for("the level is in force", async || region.gateways[1].log().contains("level=debug"))
+    wait_for("the log level is set", async || region.gateways[1].log().contains("level=debug"))
         .await;
     assert_eq!(operator.run(&["log-level", "loud=very=much"]).0, 2);
     let nobody = Operator { server: "127.0.0.1:1".to_owned(), ..operator };
--- a/tests/traffic.rs
+++ b/tests/traffic.rs
@@ -1,11 +1,11 @@
-//! The figures of what a process sends to others of the system.
+//! The metrics of the messages that a process sends to other processes of the system.
 
 use winchvane::message::{SessionDown, SessionUp};
 use winchvane::metrics::Metrics;
 use winchvane::traffic;
 
 #[test]
-fn messages_and_their_bytes_are_told_by_kind() {
+fn messages_and_their_bytes_are_counted_by_kind() {
     let up = SessionUp::Leave;
     let down = SessionDown::Expired;
     traffic::count(up.kind(), 5);
