--- a/src/bin/winchvane.rs
+++ b/src/bin/winchvane.rs
@@ -329,7 +329,7 @@
 }
 
 /// Returns the accepted declarations that are not among `documents`.
-fn only_accepted(documents: &[Located], accepted: &Value) -> Vec<String> {
+fn only_accepted(documents: &[LocatedDocument], accepted: &Value) -> Vec<String> {
     let mut names = std::collections::BTreeSet::new();
     for located in documents {
         names.insert((located.document.kind(), located.document.name().clone()));
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -24,7 +24,7 @@
 ///
 /// # Errors
 /// All faults, with their files and lines.
-pub fn read_declarations(paths: &[PathBuf]) -> std::result::Result<Vec<Located>, Vec<Fault>> {
+pub fn read_declarations(paths: &[PathBuf]) -> std::result::Result<Vec<LocatedDocument>, Vec<Fault>> {
     let mut faults = Faults::new();
     let mut documents = Vec::new();
     for path in list_files(paths, &mut faults) {
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -22,8 +22,7 @@
     if let [root] = roots.as_slice() {
         settings = read(root, &mut faults);
     } else if faults.is_empty() {
-        let detail = format!("expected one document with settings, found {}", roots.len());
-        faults.add_file(file, 1, detail);
+        faults.add_file(file, 1, "expected one document with settings");
     }
     match settings {
         Some(settings) if faults.is_empty() => Ok(settings),
