--- a/src/control/permit.rs
+++ b/src/control/permit.rs
@@ -94,7 +94,7 @@
     }
 
     /// Returns a permit that `gateway` holds.
-    pub fn give_back(&mut self, gateway: &str, id: u64) {
+    pub fn return_permit(&mut self, gateway: &str, id: u64) {
         if self.granted.get(&id).is_some_and(|granted| &*granted.gateway == gateway) {
             self.granted.remove(&id);
         }
--- a/src/control/placement/holders.rs
+++ b/src/control/placement/holders.rs
@@ -15,7 +15,7 @@
 
 use super::{EndpointState, Placement};
 use crate::message::OrderOutcome;
-use crate::relay::{ORDER_HOLD_MS, ORDER_WRITE_MS};
+use crate::relay::{ORDER_WRITE_MS, SEND_LEASE_MS};
 
 /// How long a new leader waits before it chooses holders, so that the first gateways to connect do
 /// not get all endpoints; gateways find a new leader within this time.
@@ -68,7 +68,7 @@
     /// Returns the time until which the disconnected `gateway` may still write an order.
     fn write_deadline_ms(&mut self, now_ms: u64, gateway: &Arc<str>) -> u64 {
         let since_ms = *self.disconnected_since_ms.entry(gateway.clone()).or_insert(now_ms);
-        since_ms + ORDER_HOLD_MS + ORDER_WRITE_MS
+        since_ms + SEND_LEASE_MS + ORDER_WRITE_MS
     }
 }
 
@@ -169,7 +169,7 @@
 impl OrderArrival {
     /// Assumes that the previous leader may just have sent an order to the endpoint.
     pub(super) fn new(now_ms: u64) -> Self {
-        Self { until_ms: now_ms + ORDER_HOLD_MS + ORDER_WRITE_MS }
+        Self { until_ms: now_ms + SEND_LEASE_MS + ORDER_WRITE_MS }
     }
 
     /// Records an outcome. An order with an unknown outcome may still be on its way.
--- a/src/control/replica/mod.rs
+++ b/src/control/replica/mod.rs
@@ -368,7 +368,7 @@
                 self.poll_permits(now_ms);
             }
             ControlRequest::PermitDone { gateway, permit_id } => {
-                self.permits.give_back(&gateway, permit_id);
+                self.permits.return_permit(&gateway, permit_id);
                 let _ = reply.send(ControlReply::PermitReturned);
                 self.poll_permits(now_ms);
             }
--- a/src/control/replica/registration.rs
+++ b/src/control/replica/registration.rs
@@ -21,7 +21,7 @@
 };
 use crate::policy::counts;
 use crate::policy::crashes::Crashes;
-use crate::policy::quota::{Pools, QuotaBounds};
+use crate::policy::quota::{CreditPools, QuotaBounds};
 use crate::routing::RoutingConfiguration;
 
 /// Interval between records of new copies of weights: each record costs a synced log entry, each
@@ -48,7 +48,7 @@
     pub(super) counts: Counts,
     pub(super) crashes: Crashes,
     /// Quota credit of workspaces.
-    pub(super) credit: Pools,
+    pub(super) credit: CreditPools,
 }
 
 impl Registered {
@@ -65,7 +65,7 @@
             copies_due_ms: 0,
             counts: Counts::new(),
             crashes: Crashes::default(),
-            credit: Pools::new(quota),
+            credit: CreditPools::new(quota),
         }
     }
 }
@@ -95,11 +95,11 @@
         registered.ticked_at_ms = now_ms;
         registered.group_sent = Group::default();
         registered.counts = Counts::new();
-        registered.credit = Pools::new(self.settings.quota);
+        registered.credit = CreditPools::new(self.settings.quota);
         if let Some(configuration) = self.state.registry.routing() {
-            registered.credit = Pools::new(self.settings.quota)
-                .with_earlier_leader(now_ms, configuration)
-                .with_earlier_term_age(previous_term_age_ms.unwrap_or(0));
+            registered.credit = CreditPools::new(self.settings.quota)
+                .with_previous_leader(now_ms, configuration)
+                .with_previous_term_age(previous_term_age_ms.unwrap_or(0));
         }
         let standings = self.state.registry.standings().cloned();
         registered.crashes = Crashes::new(now_ms, standings);
@@ -414,7 +414,7 @@
                 self.propose_standings(wall_ms);
             }
             SessionUp::AskForTrial(key) => {
-                self.registered.crashes.request_trial(now_ms, key, &from.gateway);
+                self.registered.crashes.grant_trial(now_ms, key, &from.gateway);
                 self.propose_standings(wall_ms);
             }
             SessionUp::ServedBefore { key, ago_ms } => {
--- a/src/policy/crashes.rs
+++ b/src/policy/crashes.rs
@@ -513,7 +513,7 @@
 
     /// Lets `gateway` send a request whose holding time is over, unless another gateway already
     /// does.
-    pub fn request_trial(&mut self, now_ms: u64, key: RequestKey, gateway: &Arc<str>) {
+    pub fn grant_trial(&mut self, now_ms: u64, key: RequestKey, gateway: &Arc<str>) {
         let Some(known) = self.known.get(&key) else { return };
         let (held_ms, times) = match known.standing {
             Standing::Held { for_ms, times } => (for_ms, times),
--- a/src/policy/quota/mod.rs
+++ b/src/policy/quota/mod.rs
@@ -22,7 +22,7 @@
 pub use credits::{Admission, Credits};
 pub use distributor_pool::DistributorPools;
 pub use holders::HolderGrant;
-pub use pool::Pools;
+pub use pool::CreditPools;
 
 pub(crate) use crate::message::{CreditAsk, CreditGrant};
 use crate::routing::Quota;
--- a/src/policy/quota/pool.rs
+++ b/src/policy/quota/pool.rs
@@ -159,7 +159,7 @@
 
 /// The pools of all workspaces that have a quota.
 #[derive(Debug)]
-pub struct Pools {
+pub struct CreditPools {
     bounds: QuotaBounds,
     /// The time until which units of an earlier leader may be outstanding.
     earlier_until_ms: u64,
@@ -168,9 +168,9 @@
     queued: HashSet<Arc<str>>,
 }
 
-impl Pools {
+impl CreditPools {
     /// Creates a set without pools; a leader that follows another one also calls
-    /// [`with_earlier_leader`](Self::with_earlier_leader).
+    /// [`with_previous_leader`](Self::with_previous_leader).
     pub fn new(bounds: QuotaBounds) -> Self {
         Self { bounds, earlier_until_ms: 0, by_workspace: HashMap::new(), queued: HashSet::new() }
     }
@@ -181,7 +181,7 @@
     /// The pools start empty, so that successive leaders together grant no more than the quota's
     /// rate.
     #[must_use]
-    pub fn with_earlier_leader(
+    pub fn with_previous_leader(
         mut self,
         now_ms: u64,
         configuration: &RoutingConfiguration,
@@ -199,7 +199,7 @@
     /// Fills the pools of a leader that follows another one with a part of their burst if the term
     /// of the earlier leader began at least one window ago: at most one leader per window does so.
     #[must_use]
-    pub fn with_earlier_term_age(mut self, ago_ms: u64) -> Self {
+    pub fn with_previous_term_age(mut self, ago_ms: u64) -> Self {
         if ago_ms < self.bounds.window_ms {
             return self;
         }
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -48,7 +48,7 @@
 pub use idle::IdleConnections;
 pub use known::Wanted;
 pub use limits::LimitChange;
-pub use orders::{EngineClient, ORDER_HOLD_MS, ORDER_WRITE_MS, OrderLease};
+pub use orders::{EngineClient, ORDER_WRITE_MS, SEND_LEASE_MS, SendLease};
 pub use pick::Picked;
 pub use process::run;
 pub use prompt::{PrefixCache, PromptChain, PromptPart};
--- a/src/relay/orders.rs
+++ b/src/relay/orders.rs
@@ -16,19 +16,19 @@
 
 /// How long after the send time of its last confirmed renewal a gateway may send orders: three
 /// renewals.
-pub const ORDER_HOLD_MS: u64 = 1_000;
+pub const SEND_LEASE_MS: u64 = 1_000;
 
 /// How long after the lease check an order may still be written: connecting takes up to 250 ms.
 pub const ORDER_WRITE_MS: u64 = 300;
 
 /// The lease under which a gateway sends orders; checked immediately before each one is written.
 #[derive(Debug, Clone)]
-pub struct OrderLease {
+pub struct SendLease {
     until_ms: Arc<AtomicU64>,
     clock: Clock,
 }
 
-impl OrderLease {
+impl SendLease {
     /// Creates a lease that has not begun.
     pub fn new(clock: Clock) -> Self {
         Self { until_ms: Arc::default(), clock }
@@ -36,7 +36,7 @@
 
     /// Extends the lease after the leader confirmed a renewal sent at `sent_at_ms`.
     pub fn confirm(&self, sent_at_ms: u64) {
-        self.until_ms.fetch_max(sent_at_ms + ORDER_HOLD_MS, Ordering::AcqRel);
+        self.until_ms.fetch_max(sent_at_ms + SEND_LEASE_MS, Ordering::AcqRel);
     }
 
     /// True while orders may be sent.
@@ -48,7 +48,7 @@
 /// The client that sends orders and probes to engines.
 pub trait EngineClient: Send + Sync + 'static {
     /// Sends `order` unless `lease` has ended, and waits for the outcome.
-    fn carry_out(&self, order: EngineOrder, lease: OrderLease) -> BoxFuture<'static, OrderOutcome>;
+    fn carry_out(&self, order: EngineOrder, lease: SendLease) -> BoxFuture<'static, OrderOutcome>;
 
     /// Probes an engine with a request that it answers at once; false if no answer comes.
     fn probe(&self, endpoint: &RegisteredEndpoint) -> BoxFuture<'static, bool>;
--- a/src/relay/shared.rs
+++ b/src/relay/shared.rs
@@ -14,7 +14,7 @@
 use super::crashes::CrashWatch;
 use super::fleet::Fleet;
 use super::gateway_count::{GatewayCount, NO_SHARE};
-use super::orders::OrderLease;
+use super::orders::SendLease;
 use super::pool::Pool;
 use super::quota::QuotaGate;
 use crate::clock::Clock;
@@ -42,7 +42,7 @@
     pub(super) changed: Notify,
     /// Notified when a newer version of weights becomes known.
     pub(super) version_known: Notify,
-    pub(super) order_lease: OrderLease,
+    pub(super) order_lease: SendLease,
     pub(super) quota: QuotaGate,
     pub(super) clock: Clock,
     fleet: Mutex<Fleet>,
@@ -76,7 +76,7 @@
             pool: Pool::new(clock),
             changed: Notify::new(),
             version_known: Notify::new(),
-            order_lease: OrderLease::new(clock),
+            order_lease: SendLease::new(clock),
             quota: QuotaGate::new(clock),
             clock,
             fleet: Mutex::new(fleet),
--- a/standin/src/measure.rs
+++ b/standin/src/measure.rs
@@ -471,7 +471,7 @@
                 }
                 Effect::Refuse { job, refusal, .. } => refused.push((job, refusal)),
                 Effect::AskPermit { urgency } => self.ask_permit(engine, urgency),
-                Effect::ReturnPermit { permit } => self.permits.give_back("g", permit),
+                Effect::ReturnPermit { permit } => self.permits.return_permit("g", permit),
                 Effect::Load { adapter, evict, permit } => {
                     if evict.is_some() {
                         self.report.evictions += 1;
@@ -559,7 +559,7 @@
         for load in done {
             self.report.loads += 1;
             if let Some(permit) = load.permit {
-                self.permits.give_back("g", permit);
+                self.permits.return_permit("g", permit);
             }
             let model = &mut self.engines[load.engine];
             let fails = self.failing && self.rng.random_bool(0.1);
--- a/tests/clock.rs
+++ b/tests/clock.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use winchvane::clock::{Clock, SinceBoot, TimeSource};
-use winchvane::relay::{ORDER_HOLD_MS, OrderLease};
+use winchvane::relay::{SEND_LEASE_MS, SendLease};
 
 /// A time source that moves only in jumps.
 #[derive(Debug)]
@@ -34,10 +34,10 @@
 #[test]
 fn an_order_lease_ends_while_the_machine_is_suspended() {
     static SOURCE: Jumps = Jumps(AtomicU64::new(5_000));
-    let lease = OrderLease::new(Clock::with_source(&SOURCE));
+    let lease = SendLease::new(Clock::with_source(&SOURCE));
     lease.confirm(0);
     assert!(lease.holds());
-    SOURCE.0.fetch_add(ORDER_HOLD_MS, Ordering::SeqCst);
+    SOURCE.0.fetch_add(SEND_LEASE_MS, Ordering::SeqCst);
     assert!(!lease.holds());
 }
 
--- a/tests/crashes.rs
+++ b/tests/crashes.rs
@@ -580,13 +580,13 @@
 fn one_gateway_at_a_time_gets_a_trial_after_the_time_is_over() {
     let mut crashes = held();
     let (one, other): (Arc<str>, Arc<str>) = ("g1".into(), "g2".into());
-    crashes.request_trial(HELD_AT_MS + 9_999, key(9), &one);
+    crashes.grant_trial(HELD_AT_MS + 9_999, key(9), &one);
     assert_eq!(commit(&mut crashes, 13_999), None, "too early");
-    crashes.request_trial(14_000, key(9), &one);
-    crashes.request_trial(14_000, key(9), &other);
+    crashes.grant_trial(14_000, key(9), &one);
+    crashes.grant_trial(14_000, key(9), &other);
     let on_trial = Standing::OnTrial { gateway: one, times: 0 };
     assert_eq!(commit(&mut crashes, 14_000), Some(on_trial));
-    crashes.request_trial(15_000, key(9), &other);
+    crashes.grant_trial(15_000, key(9), &other);
     assert_eq!(commit(&mut crashes, 15_000), None, "another gateway is on trial");
     report_crash(&mut crashes, 16_000, "e9", 9, 40);
     let again = Standing::Held { for_ms: 60_000, times: 1 };
@@ -596,7 +596,7 @@
 #[test]
 fn a_coincidental_crash_during_a_trial_does_not_lengthen_the_time() {
     let mut crashes = held();
-    crashes.request_trial(14_000, key(9), &"g1".into());
+    crashes.grant_trial(14_000, key(9), &"g1".into());
     assert!(commit(&mut crashes, 14_000).is_some());
     report_crash(&mut crashes, 24_000, "e9", 9, 10_000);
     let again = Standing::Held { for_ms: 10_000, times: 0 };
@@ -607,9 +607,9 @@
 fn a_trial_without_an_outcome_is_followed_by_another() {
     let mut crashes = held();
     let (one, other): (Arc<str>, Arc<str>) = ("g1".into(), "g2".into());
-    crashes.request_trial(14_000, key(9), &one);
+    crashes.grant_trial(14_000, key(9), &one);
     assert!(commit(&mut crashes, 14_000).is_some());
-    crashes.request_trial(29_000, key(9), &other);
+    crashes.grant_trial(29_000, key(9), &other);
     let on_trial = Standing::OnTrial { gateway: other, times: 0 };
     assert_eq!(commit(&mut crashes, 29_000), Some(on_trial));
     crashes.served(key(9));
@@ -621,14 +621,14 @@
 fn a_returned_trial_is_given_again_after_a_second() {
     let mut crashes = held();
     let (one, other): (Arc<str>, Arc<str>) = ("g1".into(), "g2".into());
-    crashes.request_trial(14_000, key(9), &one);
+    crashes.grant_trial(14_000, key(9), &one);
     assert!(commit(&mut crashes, 14_000).is_some());
     crashes.return_trial(key(9), &other);
     assert_eq!(commit(&mut crashes, 14_100), None, "another gateway has the trial");
     crashes.return_trial(key(9), &one);
     let again = Standing::Held { for_ms: 1_000, times: 0 };
     assert_eq!(commit(&mut crashes, 14_100), Some(again));
-    crashes.request_trial(15_100, key(9), &other);
+    crashes.grant_trial(15_100, key(9), &other);
     assert!(matches!(commit(&mut crashes, 15_100), Some(Standing::OnTrial { .. })));
 }
 
@@ -647,7 +647,7 @@
         Some(Standing::Held { for_ms: 10_000, times: 0 }),
         "the second request is held too"
     );
-    crashes.request_trial(18_100, key(9), &"g1".into());
+    crashes.grant_trial(18_100, key(9), &"g1".into());
     assert!(commit(&mut crashes, 18_100).is_some());
     // The request on trial is reported first.
     report_crash_with(&mut crashes, 18_200, "g", &[(9, 30), (8, 40)]);
@@ -658,7 +658,7 @@
 #[test]
 fn a_crash_before_a_trial_is_not_its_outcome() {
     let mut crashes = held();
-    crashes.request_trial(14_000, key(9), &"g1".into());
+    crashes.grant_trial(14_000, key(9), &"g1".into());
     assert!(commit(&mut crashes, 14_000).is_some());
     let run = BrokenRun { key: key(9), weights: None, ran_ms: 40, served_ago_ms: None };
     let (endpoint, service) = ("e-early".into(), "s".into());
@@ -690,8 +690,8 @@
         }
     }
     let mut next = Crashes::new(100, standings);
-    next.request_trial(10_099, key(9), &"g1".into());
+    next.grant_trial(10_099, key(9), &"g1".into());
     assert_eq!(commit(&mut next, 10_099), None);
-    next.request_trial(10_100, key(9), &"g1".into());
+    next.grant_trial(10_100, key(9), &"g1".into());
     assert!(matches!(commit(&mut next, 10_100), Some(Standing::OnTrial { .. })));
 }
--- a/tests/holders.rs
+++ b/tests/holders.rs
@@ -14,7 +14,7 @@
     HolderChoice, OrderHolder, OrderHolders, Placement, PlacementSettings,
 };
 use winchvane::message::{EngineOrder, OrderOutcome, OrderResult, RegisteredEndpoint};
-use winchvane::relay::{ORDER_HOLD_MS, ORDER_WRITE_MS};
+use winchvane::relay::{ORDER_WRITE_MS, SEND_LEASE_MS};
 
 /// `WINCHVANE_SEEDS=20000 cargo test --release --test holders` runs more seeds.
 const DEFAULT_SEEDS: u64 = 40;
@@ -123,7 +123,7 @@
         "an order is pending when the gateway disconnects"
     );
     placement.set_gateways(10_000, gateways(&[("g2", "a")]));
-    let expired_ms = 10_000 + ORDER_HOLD_MS + ORDER_WRITE_MS + LEASE_MS;
+    let expired_ms = 10_000 + SEND_LEASE_MS + ORDER_WRITE_MS + LEASE_MS;
     placement.advance(11_100, &holders);
     assert!(placement.take_choices().is_empty(), "the lost order may still arrive");
     placement.advance(expired_ms - 1, &holders);
@@ -151,7 +151,7 @@
     placement.advance(9_990, &holders);
     assert_eq!(placement.take_orders().len(), 1);
     placement.set_gateways(10_000, gateways(&[("g2", "a")]));
-    placement.advance(10_000 + ORDER_HOLD_MS + ORDER_WRITE_MS + LEASE_MS - 1, &holders);
+    placement.advance(10_000 + SEND_LEASE_MS + ORDER_WRITE_MS + LEASE_MS - 1, &holders);
     assert!(placement.take_choices().is_empty());
 }
 
@@ -165,7 +165,7 @@
     for (answered_ms, expired_ms) in [
         // The lease of an order answered this early expires before the gateway can no longer write
         // orders.
-        (10_000, gone_ms + ORDER_HOLD_MS + ORDER_WRITE_MS),
+        (10_000, gone_ms + SEND_LEASE_MS + ORDER_WRITE_MS),
         (gone_ms - 500, gone_ms - 500 + LEASE_MS),
     ] {
         let (mut placement, holders) = held_by_g1(&endpoints);
@@ -265,7 +265,7 @@
                 }
                 // Only the current term's leader can confirm a renewal.
                 if gateway.follows_term == Some(term) && now_ms % 300 == 0 {
-                    gateway.lease_until_ms = now_ms + ORDER_HOLD_MS;
+                    gateway.lease_until_ms = now_ms + SEND_LEASE_MS;
                 }
             }
             let mut connected = BTreeMap::new();
--- a/tests/permits.rs
+++ b/tests/permits.rs
@@ -27,7 +27,7 @@
         held.retain(|(since_ms, id)| {
             let ended = now_ms >= since_ms + 440;
             if ended {
-                permits.give_back("g", *id);
+                permits.return_permit("g", *id);
             }
             !ended
         });
@@ -59,7 +59,7 @@
         permits.request(11_200, 9, "mine".into(), 1.0, 1_000);
         permits.poll(11_200)
     })[0];
-    permits.give_back("other", id);
+    permits.return_permit("other", id);
     assert_eq!(permits.in_use(), 2);
 }
 
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -8,7 +8,7 @@
 use rand::{RngExt, SeedableRng};
 use winchvane::message::{CreditAsk, CreditGrant};
 use winchvane::policy::quota::{
-    Admission, Credits, DistributorPools, HolderGrant, Pools, QuotaBounds,
+    Admission, CreditPools, Credits, DistributorPools, HolderGrant, QuotaBounds,
 };
 use winchvane::routing::{Quota, QuotaUnit, RequestLimits, RoutingConfiguration, Workspace};
 
@@ -75,7 +75,7 @@
 
 struct Region {
     now_ms: u64,
-    leader: Option<Pools>,
+    leader: Option<CreditPools>,
     distributors: Vec<Distributor>,
     gateways: Vec<Gateway>,
     /// Messages in transit: the time of arrival, the session in which each was sent, and the
@@ -96,7 +96,7 @@
     }
 
     fn with_bounds(gateways: usize, bounds: QuotaBounds) -> Self {
-        let mut pools = Pools::new(bounds);
+        let mut pools = CreditPools::new(bounds);
         pools.configure(0, &configuration(RATE_PER_S));
         let mut region = Self {
             now_ms: 0,
@@ -192,7 +192,7 @@
     fn elect(&mut self) {
         let configuration = configuration(self.rate_per_s);
         self.leader =
-            Some(Pools::new(self.bounds).with_earlier_leader(self.now_ms, &configuration));
+            Some(CreditPools::new(self.bounds).with_previous_leader(self.now_ms, &configuration));
     }
 
     fn send(&mut self, session: u64, message: Message) {
@@ -549,7 +549,7 @@
     far_more = { 50.0 },
 )]
 fn an_ask_for_more_than_a_pool_holds_is_answered(bursts: f64) {
-    let mut pools = Pools::new(BOUNDS);
+    let mut pools = CreditPools::new(BOUNDS);
     pools.configure(0, &configuration(RATE_PER_S));
     let holder: Arc<str> = "g".into();
     let mut answer = pools.ask(1_000, &holder, &ask((BURST * bursts) as u64));
@@ -563,7 +563,7 @@
 /// Guards against the same failure when the quota is lowered while an ask waits.
 #[test]
 fn an_ask_that_waits_is_answered_when_the_quota_is_lowered() {
-    let mut pools = Pools::new(BOUNDS);
+    let mut pools = CreditPools::new(BOUNDS);
     pools.configure(0, &configuration(RATE_PER_S));
     let (one, other): (Arc<str>, Arc<str>) = ("g1".into(), "g2".into());
     assert!(pools.ask(1_000, &one, &ask(BURST as u64)).is_some());
@@ -638,7 +638,7 @@
     fn elect_after(&mut self, earlier_at_ms: u64) {
         self.elect();
         let began_ago_ms = self.now_ms - earlier_at_ms;
-        self.leader = self.leader.take().map(|pools| pools.with_earlier_term_age(began_ago_ms));
+        self.leader = self.leader.take().map(|pools| pools.with_previous_term_age(began_ago_ms));
         self.link_all();
     }
 
