--- a/scripts/mutations.sh
+++ b/scripts/mutations.sh
@@ -100,7 +100,7 @@
 mutate "an end right after a restart may be late" $incarnations 's/is_recent && !has_left/false/' --test restarts
 mutate "such an end stops new requests" $incarnations 's/RegisteredEndpoint \{ leaving: true, \.\.endpoint \}/endpoint/' --test restarts
 mutate "only a heartbeat from after the end takes it back" $incarnations 's/MIN_SEQUENCE_GAP: u64 = 2/MIN_SEQUENCE_GAP: u64 = 1/' --test restarts
-mutate "the next leader looks for a former incarnation" $incarnations 's/self\.state\.registry\.has_former_incarnation\(known\)/false/' --test restarts
+mutate "the next leader looks for a previous incarnation" $incarnations 's/self\.state\.registry\.has_previous_incarnation\(known\)/false/' --test restarts
 mutate "an open order keeps the next holder waiting" src/control/placement/holders.rs 's/if self\.has_pending_order\(\)/if false/' --test holders
 mutate "an order taken for lost may still come" src/control/placement/holders.rs 's/now_ms \+ LOST_ORDER_MS/now_ms/' --test holders
 mutate "a stalled disk leaves no lead" src/control/server.rs 's/self\.withdraw_leadership\(\);//' --test stalled_disk
--- a/src/control/api.rs
+++ b/src/control/api.rs
@@ -45,8 +45,8 @@
         if let ControlRequest::Heartbeat(heartbeat) = &request
             && !running.leads.load(Ordering::Relaxed)
         {
-            let taken = running.distributor.heartbeat(heartbeat.clone()).await;
-            if let Some(HeartbeatResult { accepted: true, server }) = taken {
+            let result = running.distributor.heartbeat(heartbeat.clone()).await;
+            if let Some(HeartbeatResult { accepted: true, server }) = result {
                 return CallOutcome::Answered(ControlReply::Heard { server });
             }
         }
--- a/src/control/client.rs
+++ b/src/control/client.rs
@@ -1,4 +1,4 @@
-//! Client for calls to the leader of control.
+//! Client for calls to the control leader.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
--- a/src/control/distribution/mod.rs
+++ b/src/control/distribution/mod.rs
@@ -37,7 +37,7 @@
 const RENEW_INTERVAL_MAX_MS: u64 = 150;
 /// How long gateways are kept without a link: the next leader is elected and linked within one and
 /// a half election timeouts. After that gateways look for a leader themselves, since this replica
-/// may be partitioned from the leader.
+/// may be disconnected from the leader.
 const UNLINKED_MAX_MS: u64 = 1_000;
 
 /// A reply that a gateway gets once the leader has confirmed a renewal of the link.
@@ -210,7 +210,7 @@
             warn!(event = "link_lost", sessions = self.sessions.len());
             self.unlinked_at_ms = Some(now_ms);
             self.credit.unlinked();
-            // Endpoints send heartbeats again; these may be outdated by the time of the next link.
+            // Endpoints send heartbeats again; these may be stale by the time of the next link.
             self.heartbeats.clear();
             // The next leader confirms renewals that were not confirmed yet.
             for waiting in std::mem::take(&mut self.sent).into_values() {
@@ -390,7 +390,7 @@
         self.forward();
     }
 
-    /// Answers a gateway's requests for credit where the leader need not be asked first.
+    /// Answers a gateway's asks for credit where the leader need not be asked first.
     fn answer_credit_asks(
         &mut self,
         now_ms: u64,
--- a/src/control/fleet.rs
+++ b/src/control/fleet.rs
@@ -112,7 +112,7 @@
         self.gateways.get(name).map(|gateway| gateway.epoch)
     }
 
-    /// Registers a gateway under the epoch `index`; an earlier incarnation loses its endpoints.
+    /// Registers a gateway under the epoch `index`; its previous incarnation loses its endpoints.
     pub fn register(&mut self, index: u64, registration: Registration) -> Vec<Change> {
         let mut changes = Vec::new();
         if let Some(known) = self.gateways.get(&registration.name)
--- a/src/control/ledger.rs
+++ b/src/control/ledger.rs
@@ -1,7 +1,7 @@
 //! The run ledger, which makes calls that must not be repeated run at most once.
 //!
 //! A claim is committed before the call is dispatched, and its outcome afterwards. A key with a
-//! final outcome is never granted again. After the retention time only the recorded answer is
+//! final outcome is never granted again. After the retention time only the recorded response is
 //! dropped and the key is kept, unless the key carries its time of issue: calls with a key older
 //! than the retention time are refused, so such a key can be removed without a call being run
 //! twice.
@@ -62,7 +62,7 @@
     pub gateway: Arc<str>,
     /// The epoch of its registration.
     pub gateway_epoch: u64,
-    /// When the caller issued the key, if the key carries it.
+    /// When the client issued the key, if the key carries it.
     pub issued_at_ms: Option<u64>,
 }
 
@@ -73,9 +73,9 @@
     Granted,
     /// Another claim of this key is in progress.
     InProgress,
-    /// The call ran with this answer.
+    /// The call ran with this response.
     Finished(Arc<RecordedAnswer>),
-    /// The call ran; the answer is no longer kept or was too large to keep.
+    /// The call ran; the response is no longer kept or was too large to keep.
     FinishedWithoutAnswer,
     /// Whether the call ran is unknown and will stay so.
     Unknown,
@@ -92,7 +92,7 @@
 /// The outcome of a claimed call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Settlement {
-    /// It ran with this answer, or `None` if the answer was too large to keep.
+    /// It ran with this response, or `None` if the response was too large to keep.
     Finished(Option<Arc<RecordedAnswer>>),
     /// It certainly did not run.
     NotRun,
@@ -100,7 +100,7 @@
     Unknown,
 }
 
-/// An answer recorded for repetition.
+/// A response recorded for repetition.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedAnswer {
     /// The HTTP status.
@@ -116,7 +116,7 @@
 /// Limits of the ledger.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct LedgerLimits {
-    /// How long answers are kept, and keys that carry their time of issue.
+    /// How long responses are kept, and keys that carry their time of issue.
     pub retention_ms: u64,
     /// Most keys; further new keys are refused.
     pub max_keys: usize,
--- a/src/control/placement/endpoint.rs
+++ b/src/control/placement/endpoint.rs
@@ -30,9 +30,9 @@
 /// The waiting prompt time from which an endpoint counts as crowded: a large share of the shortest
 /// latency objectives.
 const CROWDED_READING_MS: u32 = 150;
-/// How long an endpoint that a gateway cannot reach gets no new weights and does not count as a
-/// home; gateways retry the endpoint within this time.
-const UNREACHABLE_MS: u64 = 1_500;
+/// How long an endpoint that a gateway reported as failing gets no new weights and does not count
+/// as a home; gateways retry the endpoint within this time.
+const FAILING_MS: u64 = 1_500;
 /// The maximum age of the state in a report; a report requested this long after an order reflects
 /// the order.
 pub(super) const REPORT_LAG_MS: u64 = 260;
@@ -41,7 +41,7 @@
 
 /// The state of weights at an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PlaceState {
+pub enum WeightsState {
     /// Ordered to load, not yet confirmed as loaded.
     Loading {
         /// When to check the load next.
@@ -57,11 +57,11 @@
 
 /// A base model or adapter at an endpoint, from the order to load until the end of the unload.
 #[derive(Debug, Clone)]
-pub struct Place {
+pub struct PlacedWeights {
     /// The version of the weights.
     pub version: u64,
     /// The current state.
-    pub state: PlaceState,
+    pub state: WeightsState,
     /// True when loaded from the weight store rather than from a local copy.
     pub from_store: bool,
     /// Concurrent loads from the store when this one was ordered, including itself.
@@ -77,7 +77,7 @@
     users: BTreeMap<Arc<str>, u64>,
 }
 
-impl Place {
+impl PlacedWeights {
     /// True while requests use the weights or may be on their way to them.
     fn is_in_use(&self, now_ms: u64) -> bool {
         self.used_at_ms + USE_GRACE_MS > now_ms
@@ -118,7 +118,7 @@
     /// When the last heartbeat arrived.
     pub heartbeat_at_ms: u64,
     /// The base models and adapters, by name.
-    pub places: BTreeMap<WeightsName, Place>,
+    pub places: BTreeMap<WeightsName, PlacedWeights>,
     /// The load of all gateways together.
     pub load: Load,
     /// The number of orders that the endpoint has accepted; `None` while only a report can tell.
@@ -132,7 +132,7 @@
     pub(super) pending: Option<PendingOrder>,
     pub(super) report_due_ms: u64,
     pub(super) orders_from_ms: u64,
-    unreachable_until_ms: u64,
+    failing_until_ms: u64,
     pub(super) unloaded_at_ms: BTreeMap<WeightsName, u64>,
 }
 
@@ -153,7 +153,7 @@
             pending: None,
             report_due_ms: 0,
             orders_from_ms: 0,
-            unreachable_until_ms: 0,
+            failing_until_ms: 0,
             unloaded_at_ms: BTreeMap::new(),
         }
     }
@@ -171,7 +171,7 @@
 
     /// True when the endpoint may be given further weights.
     pub fn accepts_weights(&self, now_ms: u64) -> bool {
-        self.is_live(now_ms) && !self.endpoint.leaving && self.unreachable_until_ms <= now_ms
+        self.is_live(now_ms) && !self.endpoint.leaving && self.failing_until_ms <= now_ms
     }
 
     /// True when running or waiting requests leave too little capacity for another adapter.
@@ -209,7 +209,7 @@
 
     /// True when the base model of `name` is loaded.
     pub fn holds_base(&self, name: &WeightsName) -> bool {
-        self.places.get(&name.base()).is_some_and(|place| place.state == PlaceState::Ready)
+        self.places.get(&name.base()).is_some_and(|place| place.state == WeightsState::Ready)
     }
 
     /// Records copies of `weights` at the endpoint, oldest first.
@@ -233,7 +233,7 @@
     pub fn loading_from_store(&self, now_ms: u64) -> usize {
         let mut coming = 0;
         for place in self.places.values() {
-            let is_loading = matches!(place.state, PlaceState::Loading { .. });
+            let is_loading = matches!(place.state, WeightsState::Loading { .. });
             coming += usize::from(place.from_store && is_loading && !place.is_overdue(now_ms));
         }
         coming
@@ -241,7 +241,7 @@
 
     /// True while any weights are being loaded.
     pub fn is_loading_any(&self) -> bool {
-        self.places.values().any(|place| matches!(place.state, PlaceState::Loading { .. }))
+        self.places.values().any(|place| matches!(place.state, WeightsState::Loading { .. }))
     }
 
     /// The number of adapters being loaded.
@@ -249,7 +249,7 @@
         let mut coming = 0;
         for (name, place) in &self.places {
             coming += usize::from(
-                name.adapter.is_some() && matches!(place.state, PlaceState::Loading { .. }),
+                name.adapter.is_some() && matches!(place.state, WeightsState::Loading { .. }),
             );
         }
         coming
@@ -283,7 +283,7 @@
     pub fn least_demanded_model(&self, now_ms: u64, demand: &Demand) -> Option<(WeightsName, f64)> {
         let mut least_demanded: Option<(WeightsName, f64)> = None;
         for (name, place) in &self.places {
-            let is_idle = name.adapter.is_none() && place.state == PlaceState::Ready;
+            let is_idle = name.adapter.is_none() && place.state == WeightsState::Ready;
             if !is_idle || self.is_model_used(now_ms, name) {
                 continue;
             }
@@ -306,7 +306,7 @@
     pub fn least_demanded_adapter(&self, now_ms: u64, demand: &Demand) -> Option<WeightsName> {
         let mut least_demanded: Option<(f64, &WeightsName)> = None;
         for (name, place) in &self.places {
-            let is_idle = place.state == PlaceState::Ready
+            let is_idle = place.state == WeightsState::Ready
                 && !place.is_in_use(now_ms)
                 && name.adapter.is_some();
             if !is_idle {
@@ -326,14 +326,15 @@
             return None;
         }
         let unloading = self.places.iter().find(|(_, place)| {
-            place.state == PlaceState::Unloading && place.changed_at_ms + UNLOAD_CHECK_MS <= now_ms
+            place.state == WeightsState::Unloading
+                && place.changed_at_ms + UNLOAD_CHECK_MS <= now_ms
         });
         unloading.map(|(name, _)| name.clone())
     }
 
-    /// Records that a gateway cannot reach the endpoint.
-    pub fn mark_unreachable(&mut self, now_ms: u64) {
-        self.unreachable_until_ms = now_ms + UNREACHABLE_MS;
+    /// Records that a gateway reported the endpoint as failing or could not send it an order.
+    pub fn mark_failing(&mut self, now_ms: u64) {
+        self.failing_until_ms = now_ms + FAILING_MS;
     }
 
     /// A load whose completion is due to be checked.
@@ -342,7 +343,7 @@
             return None;
         }
         for (name, place) in &self.places {
-            if let PlaceState::Loading { check_at_ms, .. } = place.state
+            if let WeightsState::Loading { check_at_ms, .. } = place.state
                 && check_at_ms <= now_ms
             {
                 return Some(name.clone());
@@ -391,7 +392,7 @@
                 let first_check_ms = (store.expected_ms as f64 * FIRST_CHECK_SHARE) as u64;
                 let expected_ms = if from_store { first_check_ms } else { 0 };
                 let pause_ms = FIRST_CHECK_MS.max(expected_ms);
-                let state = PlaceState::Loading { check_at_ms: u64::MAX, pause_ms };
+                let state = WeightsState::Loading { check_at_ms: u64::MAX, pause_ms };
                 self.set_state(now_ms, name, version, state);
                 if let Some(place) = self.places.get_mut(name) {
                     place.from_store = from_store;
@@ -406,7 +407,7 @@
                 for gone in self.with_adapters(name) {
                     placed.push(self.to_placed(&gone, Holding::Gone));
                 }
-                self.set_state(now_ms, name, version, PlaceState::Unloading);
+                self.set_state(now_ms, name, version, WeightsState::Unloading);
             }
         }
     }
@@ -416,10 +417,10 @@
         now_ms: u64,
         name: &WeightsName,
         version: u64,
-        state: PlaceState,
+        state: WeightsState,
     ) {
         let used_at_ms = now_ms;
-        let place = Place {
+        let place = PlacedWeights {
             version,
             state,
             from_store: false,
@@ -463,11 +464,13 @@
     }
 
     fn is_unloading(&self, name: &WeightsName) -> bool {
-        self.places.get(name).is_some_and(|place| place.state == PlaceState::Unloading)
+        self.places.get(name).is_some_and(|place| place.state == WeightsState::Unloading)
     }
 
     fn is_loading(&self, name: &WeightsName) -> bool {
-        self.places.get(name).is_some_and(|place| matches!(place.state, PlaceState::Loading { .. }))
+        self.places
+            .get(name)
+            .is_some_and(|place| matches!(place.state, WeightsState::Loading { .. }))
     }
 
     pub(super) fn to_placed(&self, name: &WeightsName, holding: Holding) -> Placed {
--- a/src/control/placement/holders.rs
+++ b/src/control/placement/holders.rs
@@ -1,7 +1,7 @@
 //! Chooses the gateway that sends orders to each endpoint, its order holder.
 //!
 //! Choices are recorded in the replicated log and outlive a change of leader. When a holder
-//! disconnects, the endpoint gets another holder only once no order of the former one can take
+//! disconnects, the endpoint gets another holder only once no order of the previous one can take
 //! effect: the engine's order lease must have expired, counted from the last order that can have
 //! arrived. Without a pending order that is the last answered order, so the next holder may send
 //! orders after 1.3 s instead of 4.3 s.
@@ -108,7 +108,7 @@
                 tracker.proposed.remove(&address);
             }
             let is_connected = tracker.connected.contains_key(&holder.gateway);
-            // A pending choice may be recorded at any moment; the former holder gets no orders
+            // A pending choice may be recorded at any moment; the previous holder gets no orders
             // until then.
             let may_order = is_connected && !tracker.proposed.contains_key(&address);
             endpoint.holder = may_order.then(|| holder.clone());
--- a/src/control/placement/homes.rs
+++ b/src/control/placement/homes.rs
@@ -4,7 +4,7 @@
 
 use tracing::info;
 
-use super::endpoint::{EndpointState, PlaceState};
+use super::endpoint::{EndpointState, WeightsState};
 use super::{OpenWants, Placement, PlacementRequest};
 use crate::message::{OrderKind, WeightsName, WeightsUse};
 use crate::routing::EngineSpec;
@@ -16,7 +16,7 @@
 /// adapter gets an additional home, so that a long prompt at one home does not block all requests.
 /// An additional home costs memory and a load, which many later requests amortize.
 const HOME_READING_MS_PER_S: f64 = 300.0;
-/// The approximate duration of an answer; used only to convert request rates to concurrent
+/// The approximate duration of a response; used only to convert request rates to concurrent
 /// requests.
 const ANSWER_DURATION_S: f64 = 0.7;
 /// A placement request expires when it is not repeated within this time; clients retry sooner.
@@ -68,7 +68,7 @@
     /// Endpoints that could become a home, with their suitability.
     candidates: Vec<(Fit, Arc<str>)>,
     /// Endpoints that hold an older version.
-    outdated: Vec<Arc<str>>,
+    older: Vec<Arc<str>>,
 }
 
 impl Placement {
@@ -238,15 +238,15 @@
                 continue;
             };
             match place.state {
-                PlaceState::Ready if place.version < newest => survey.outdated.push(id.clone()),
-                PlaceState::Ready => {
+                WeightsState::Ready if place.version < newest => survey.older.push(id.clone()),
+                WeightsState::Ready => {
                     survey.homes += 1;
                     survey.crowded_homes += usize::from(endpoint.is_crowded());
                 }
-                PlaceState::Loading { .. } => {
+                WeightsState::Loading { .. } => {
                     survey.on_their_way += usize::from(!place.is_overdue(now_ms));
                 }
-                PlaceState::Unloading => {}
+                WeightsState::Unloading => {}
             }
         }
         survey
@@ -296,15 +296,15 @@
         self.open.no_victim += 1;
         let has_home = survey.homes + survey.on_their_way > 0;
         if !request.is_additional && !has_home && !is_any_busy {
-            self.unload_outdated(now_ms, name, survey);
+            self.unload_older_version(now_ms, name, survey);
         }
         false
     }
 
     /// Unloads an older version to free its memory: gateways that request a first home no longer
     /// use that version.
-    fn unload_outdated(&mut self, now_ms: u64, name: &WeightsName, survey: &Survey) {
-        for id in &survey.outdated {
+    fn unload_older_version(&mut self, now_ms: u64, name: &WeightsName, survey: &Survey) {
+        for id in &survey.older {
             let Some(endpoint) = self.endpoints.get(id) else { continue };
             if endpoint.is_free_for_orders(now_ms) {
                 self.order(now_ms, id, OrderKind::Unload { name: name.clone() });
@@ -324,7 +324,7 @@
         request: &PlacementRequest,
         survey: &Survey,
     ) -> bool {
-        let Some(id) = survey.outdated.first() else {
+        let Some(id) = survey.older.first() else {
             let base = name.base();
             self.add_home(now_ms, service, &base, request, rate);
             return false;
--- a/src/control/placement/mod.rs
+++ b/src/control/placement/mod.rs
@@ -24,7 +24,7 @@
 use tracing::info;
 
 pub use demand::{Demand, StoreRateLimit};
-pub use endpoint::{COPIES_MAX, EndpointState, Place, PlaceState, StoreLoad};
+pub use endpoint::{COPIES_MAX, EndpointState, PlacedWeights, StoreLoad, WeightsState};
 pub use holders::{HolderChoice, OrderHolder, OrderHolders};
 pub use outcome::CompletedStoreLoad;
 pub use store_limit::StoreConcurrencyLimit;
@@ -145,9 +145,9 @@
     scan_cursor: Option<Arc<str>>,
     scanned_at_ms: u64,
     /// Endpoints where the latest scan found replaced versions.
-    outdated: BTreeSet<Arc<str>>,
+    holding_replaced: BTreeSet<Arc<str>>,
     /// Weights of which some endpoint may hold a version older than the newest.
-    renewed: HashSet<WeightsName>,
+    updated_weights: HashSet<WeightsName>,
     /// The demand in requests, by weights.
     demand: Demand,
     /// The demand in milliseconds that endpoints spend on reading prompts, by weights.
@@ -179,8 +179,8 @@
             versions: Versions::new(settings.version_within_ms * HELD_PERCENT / 100),
             scan_cursor: None,
             scanned_at_ms: now_ms,
-            outdated: BTreeSet::new(),
-            renewed: HashSet::new(),
+            holding_replaced: BTreeSet::new(),
+            updated_weights: HashSet::new(),
             demand: Demand::new(),
             prompt_reading: Demand::new(),
             wanted: HashMap::new(),
@@ -240,7 +240,7 @@
         if version > self.versions.newest(&name).unwrap_or(1) {
             self.forget_copies(&name);
         }
-        self.renewed.insert(name.clone());
+        self.updated_weights.insert(name.clone());
         self.versions.record(now_ms, name, version);
     }
 
@@ -253,7 +253,7 @@
         }
     }
 
-    /// Records the newest version of weights that was published under an earlier leader.
+    /// Records the newest version of weights that was published under a previous leader.
     pub fn learn_version(&mut self, now_ms: u64, name: WeightsName, version: u64) {
         self.versions.record_with_unknown_age(now_ms, name, version);
     }
@@ -312,12 +312,12 @@
         self.endpoints.get(id).is_some_and(|endpoint| endpoint.load.running > 0)
     }
 
-    /// Marks endpoints that a gateway cannot reach.
-    pub fn mark_endpoints_unreachable(&mut self, now_ms: u64, endpoints: &[Arc<str>]) {
+    /// Marks endpoints that a gateway reported as failing.
+    pub fn mark_endpoints_failing(&mut self, now_ms: u64, endpoints: &[Arc<str>]) {
         for id in endpoints {
             let Some(endpoint) = self.endpoints.get_mut(id) else { continue };
             info!(event = "endpoint_failing", endpoint = %id);
-            endpoint.mark_unreachable(now_ms);
+            endpoint.mark_failing(now_ms);
         }
     }
 
@@ -327,9 +327,9 @@
         for (id, endpoint) in &self.endpoints {
             for (name, place) in &endpoint.places {
                 let holding = match place.state {
-                    PlaceState::Ready => Holding::Ready(place.version),
-                    PlaceState::Loading { .. } => Holding::Coming,
-                    PlaceState::Unloading => continue,
+                    WeightsState::Ready => Holding::Ready(place.version),
+                    WeightsState::Loading { .. } => Holding::Coming,
+                    WeightsState::Unloading => continue,
                 };
                 placed.push(Placed { endpoint: id.clone(), name: name.clone(), holding });
             }
--- a/src/control/placement/observed.rs
+++ b/src/control/placement/observed.rs
@@ -1,7 +1,7 @@
 //! Applies the reports and heartbeats of an endpoint to its recorded state.
 
 use super::endpoint::{
-    EndpointState, FIRST_CHECK_MS, HEARTBEAT_MAX_AGE_MS, PlaceState, REPORT_LAG_MS,
+    EndpointState, FIRST_CHECK_MS, HEARTBEAT_MAX_AGE_MS, REPORT_LAG_MS, WeightsState,
 };
 use crate::message::{EngineReport, Holding, Placed, Weights};
 
@@ -18,7 +18,7 @@
         self.reconcile(now_ms, &report.holds, 0, placed);
         for coming in &report.coming {
             if !self.places.contains_key(&coming.name) {
-                let state = PlaceState::Loading { check_at_ms: now_ms, pause_ms: FIRST_CHECK_MS };
+                let state = WeightsState::Loading { check_at_ms: now_ms, pause_ms: FIRST_CHECK_MS };
                 self.set_state(now_ms, &coming.name, coming.version, state);
             }
             if let Some(place) = self.places.get_mut(&coming.name) {
@@ -26,8 +26,8 @@
             }
         }
         for place in self.places.values_mut() {
-            if let PlaceState::Loading { pause_ms, .. } = place.state {
-                place.state = PlaceState::Loading { check_at_ms: now_ms, pause_ms };
+            if let WeightsState::Loading { pause_ms, .. } = place.state {
+                place.state = WeightsState::Loading { check_at_ms: now_ms, pause_ms };
             }
         }
     }
@@ -38,7 +38,7 @@
         let mut is_any_waiting = false;
         let mut gone = Vec::new();
         for (name, place) in &self.places {
-            if place.state != PlaceState::Unloading {
+            if place.state != WeightsState::Unloading {
                 continue;
             }
             if report.holds.iter().any(|weights| weights.name == *name) {
@@ -68,7 +68,7 @@
         for (name, place) in &self.places {
             let is_listed =
                 report.holds.iter().chain(&report.coming).any(|weights| weights.name == *name);
-            let is_loading = matches!(place.state, PlaceState::Loading { .. });
+            let is_loading = matches!(place.state, WeightsState::Loading { .. });
             if is_loading && !is_listed && place.changed_at_ms + REPORT_LAG_MS <= now_ms {
                 dropped.push(name.clone());
             }
@@ -97,17 +97,17 @@
         for weights in holds {
             let known = self.places.get(&weights.name);
             let is_settled = known.is_none_or(|place| {
-                place.changed_at_ms + max_age_ms <= now_ms && place.state != PlaceState::Unloading
+                place.changed_at_ms + max_age_ms <= now_ms && place.state != WeightsState::Unloading
             });
             let is_known = known.is_some_and(|place| {
-                place.state == PlaceState::Ready && place.version == weights.version
+                place.state == WeightsState::Ready && place.version == weights.version
             });
             let unloaded_at_ms = self.unloaded_at_ms.get(&weights.name);
-            let is_outdated = unloaded_at_ms.is_some_and(|at_ms| at_ms + max_age_ms > now_ms);
-            if !is_settled || is_known || is_outdated {
+            let is_stale = unloaded_at_ms.is_some_and(|at_ms| at_ms + max_age_ms > now_ms);
+            if !is_settled || is_known || is_stale {
                 continue;
             }
-            self.set_state(now_ms, &weights.name, weights.version, PlaceState::Ready);
+            self.set_state(now_ms, &weights.name, weights.version, WeightsState::Ready);
             self.record_copy(now_ms, &weights.name);
             placed.push(self.to_placed(&weights.name, Holding::Ready(weights.version)));
         }
@@ -115,7 +115,7 @@
         for (name, place) in &self.places {
             let is_listed = holds.iter().any(|weights| weights.name == *name);
             let is_settled = place.changed_at_ms + max_age_ms.max(500) <= now_ms;
-            let is_loading = matches!(place.state, PlaceState::Loading { .. });
+            let is_loading = matches!(place.state, WeightsState::Loading { .. });
             if !is_listed && is_settled && !is_loading {
                 missing.push(name.clone());
             }
--- a/src/control/placement/outcome.rs
+++ b/src/control/placement/outcome.rs
@@ -2,7 +2,7 @@
 
 use tracing::info;
 
-use super::endpoint::{EndpointState, HEARTBEAT_MAX_AGE_MS, PlaceState, REPORT_LAG_MS};
+use super::endpoint::{EndpointState, HEARTBEAT_MAX_AGE_MS, REPORT_LAG_MS, WeightsState};
 use crate::message::{Holding, OrderKind, OrderOutcome, OrderResult, Placed, WeightsName};
 
 /// The delay before an unanswered order is sent again. Both orders expect the same sequence number,
@@ -73,9 +73,9 @@
                 self.schedule_check(now_ms, &result.kind);
             }
             OrderOutcome::Refused | OrderOutcome::NotSent => {
-                let is_unreachable = matches!(result.outcome, OrderOutcome::NotSent);
-                if is_unreachable && result.kind != OrderKind::Report {
-                    self.mark_unreachable(now_ms);
+                let is_failing = matches!(result.outcome, OrderOutcome::NotSent);
+                if is_failing && result.kind != OrderKind::Report {
+                    self.mark_failing(now_ms);
                 }
                 self.revert_order(now_ms, &result.kind, placed);
                 self.report_due_ms = now_ms + REPORT_RETRY_MS;
@@ -130,14 +130,14 @@
     fn schedule_check(&mut self, now_ms: u64, kind: &OrderKind) {
         let (OrderKind::Load { name, .. } | OrderKind::Unload { name }) = kind else { return };
         let Some(place) = self.places.get_mut(name) else { return };
-        if place.state == PlaceState::Unloading {
+        if place.state == WeightsState::Unloading {
             place.changed_at_ms = now_ms;
         }
-        if let PlaceState::Loading { pause_ms, .. } = place.state {
+        if let WeightsState::Loading { pause_ms, .. } = place.state {
             if place.changed_at_ms + LOAD_TIMEOUT_MS < now_ms {
                 self.sequence = None;
             }
-            place.state = PlaceState::Loading {
+            place.state = WeightsState::Loading {
                 check_at_ms: now_ms + pause_ms,
                 pause_ms: (pause_ms / CHECK_PAUSE_DIVISOR).clamp(CHECK_MIN_MS, CHECK_MAX_MS),
             };
@@ -164,7 +164,7 @@
                     from_store = place.from_store,
                     after_ms = now_ms - place.changed_at_ms
                 );
-                self.set_state(now_ms, name, version, PlaceState::Ready);
+                self.set_state(now_ms, name, version, WeightsState::Ready);
                 placed.push(self.to_placed(name, Holding::Ready(version)));
             }
             OrderKind::Unload { name } => {
@@ -191,11 +191,11 @@
             }
             OrderKind::Unload { name } => {
                 let version = self.places.get(name).map_or(1, |place| place.version);
-                self.set_state(now_ms, name, version, PlaceState::Ready);
+                self.set_state(now_ms, name, version, WeightsState::Ready);
                 // Gateways were told that the model and its adapters are gone.
                 for kept in self.with_adapters(name) {
                     let Some(place) = self.places.get(&kept) else { continue };
-                    if place.state == PlaceState::Ready {
+                    if place.state == WeightsState::Ready {
                         placed.push(self.to_placed(&kept, Holding::Ready(place.version)));
                     }
                 }
--- a/src/control/placement/renewal.rs
+++ b/src/control/placement/renewal.rs
@@ -1,9 +1,9 @@
-//! Replaces renewed weights: loads the newest version and unloads replaced ones in time.
+//! Handles updates of weights: loads the newest version and unloads replaced ones in time.
 
 use std::ops::Bound;
 use std::sync::Arc;
 
-use super::endpoint::{EndpointState, PlaceState};
+use super::endpoint::{EndpointState, WeightsState};
 use super::{Placement, PlacementRequest};
 use crate::message::{OrderKind, WeightsName};
 
@@ -21,7 +21,7 @@
     pub(super) fn request_newest_versions(&mut self, now_ms: u64) {
         let mut wanted = Vec::new();
         let mut settled = Vec::new();
-        for name in &self.renewed {
+        for name in &self.updated_weights {
             if self.demand.recent(now_ms, name) < VERSION_MIN_REQUESTS {
                 continue;
             }
@@ -35,7 +35,7 @@
             }
         }
         for name in settled {
-            self.renewed.remove(&name);
+            self.updated_weights.remove(&name);
         }
         for (service, name) in wanted {
             // No gateway asked, so no availability zone is preferred.
@@ -48,7 +48,7 @@
     ///
     /// Gateways stopped sending requests to these versions earlier. Requests that still wait have
     /// not begun, and the endpoint refuses them as not run. The limit thus holds for gateways with
-    /// outdated information too, and the memory is freed.
+    /// stale information too, and the memory is freed.
     pub(super) fn unload_replaced_versions(&mut self, now_ms: u64) {
         if self.versions.is_empty() {
             return;
@@ -57,13 +57,13 @@
         let mut due = Vec::new();
         // An endpoint carries out one order at a time, so endpoints with several replaced versions
         // are visited in each pass.
-        for id in std::mem::take(&mut self.outdated) {
+        for id in std::mem::take(&mut self.holding_replaced) {
             let Some(endpoint) = self.endpoints.get(&id) else { continue };
             let Some(name) = self.find_replaced(now_ms, endpoint) else { continue };
             if endpoint.is_free_for_orders(now_ms) {
                 due.push((id.clone(), name));
             }
-            self.outdated.insert(id);
+            self.holding_replaced.insert(id);
         }
         for (id, name) in due {
             self.order(now_ms, &id, OrderKind::Unload { name });
@@ -95,15 +95,15 @@
         }
         // After the last endpoint, the scan starts again from the first.
         self.scan_cursor = scan_cursor;
-        self.outdated.extend(found);
-        self.renewed.extend(older);
+        self.holding_replaced.extend(found);
+        self.updated_weights.extend(older);
     }
 
     fn find_replaced(&self, now_ms: u64, endpoint: &EndpointState) -> Option<WeightsName> {
         for (name, place) in &endpoint.places {
             let is_adapter = name.adapter.is_some();
             if is_adapter
-                && place.state == PlaceState::Ready
+                && place.state == WeightsState::Ready
                 && place.version < self.versions.due(now_ms, name)
             {
                 return Some(name.clone());
--- a/src/control/process.rs
+++ b/src/control/process.rs
@@ -1,4 +1,4 @@
-//! The process of a control replica, from its start to a planned stop.
+//! The process of a control replica, from its start to a graceful shutdown.
 
 use std::sync::atomic::AtomicBool;
 use std::sync::{Arc, PoisonError, RwLock};
--- a/src/control/raft/leading.rs
+++ b/src/control/raft/leading.rs
@@ -198,7 +198,7 @@
         true
     }
 
-    /// Transfers leadership to the voter with the longest matching log, before a planned stop.
+    /// Transfers leadership to the voter with the longest matching log, before a graceful shutdown.
     pub fn transfer_leadership(&mut self) {
         let Role::Leader(leading) = &mut self.role else { return };
         let mut best = None;
--- a/src/control/registry.rs
+++ b/src/control/registry.rs
@@ -68,7 +68,7 @@
     }
 
     /// True if an ended incarnation of the endpoint's name is still remembered.
-    pub fn has_former_incarnation(&self, endpoint: &RegisteredEndpoint) -> bool {
+    pub fn has_previous_incarnation(&self, endpoint: &RegisteredEndpoint) -> bool {
         let is_of_name = |id: &str| {
             let suffix = id.strip_prefix(&*endpoint.name);
             suffix.is_some_and(|suffix| suffix.is_empty() || suffix.starts_with('@'))
@@ -157,7 +157,7 @@
 
     /// Registers an endpoint or updates its registration.
     ///
-    /// This ends an earlier incarnation of the same name and any other endpoint at the same
+    /// This ends the previous incarnation of the same name and any other endpoint at the same
     /// address: a name and an address each belong to one endpoint.
     pub fn register(&mut self, endpoint: RegisteredEndpoint) -> Vec<Change> {
         let known = self.endpoints.get(&endpoint.id);
@@ -210,7 +210,7 @@
     }
 
     /// Keeps the order holder of an endpoint that restarted at another address. A new holder would
-    /// have to wait 4.3 s until orders of the former one no longer count.
+    /// have to wait 4.3 s until orders of the previous one no longer count.
     fn keep_holder(&mut self, before: SocketAddr, current: SocketAddr) {
         if before == current {
             return;
--- a/src/control/replica/applying.rs
+++ b/src/control/replica/applying.rs
@@ -8,7 +8,7 @@
 use crate::message::{Change, ControlReply};
 use crate::metrics::Counter;
 
-/// Bytes of applied commands after which a snapshot is due. Recorded answers can make entries
+/// Bytes of applied commands after which a snapshot is due. Recorded responses can make entries
 /// large, so the number of entries alone does not bound the log.
 const MAX_BYTES_SINCE_SNAPSHOT: usize = 64 << 20;
 
--- a/src/control/replica/credit.rs
+++ b/src/control/replica/credit.rs
@@ -8,7 +8,7 @@
 
 impl Replica {
     /// Sends `holder`, which is connected by `session`, the grants that need not wait for credit.
-    pub(super) fn answer_credit(
+    pub(super) fn answer_credit_asks(
         &mut self,
         now_ms: u64,
         session: u64,
--- a/src/control/replica/incarnations.rs
+++ b/src/control/replica/incarnations.rs
@@ -24,8 +24,9 @@
 /// one heartbeat may have been under way when the deregistration arrived.
 const MIN_SEQUENCE_GAP: u64 = 2;
 
-/// Stands for the sequence number of an endpoint that announced its stop; no heartbeat reaches it.
-const ANNOUNCED_STOP: u64 = u64::MAX;
+/// Stands for the sequence number of an endpoint that announced its shutdown; no heartbeat reaches
+/// it.
+const ANNOUNCED_SHUTDOWN: u64 = u64::MAX;
 
 /// Endpoints that are registered as leaving but may still run: by id, the sequence number of the
 /// last heartbeat known to precede the deregistration.
@@ -42,15 +43,15 @@
         }
     }
 
-    /// Records that an endpoint announced its stop. Heartbeats that arrive later without the
+    /// Records that an endpoint announced its shutdown. Heartbeats that arrive later without the
     /// announcement were sent before it.
     pub(super) fn record_leaving(&mut self, id: &Arc<str>) {
-        self.0.insert(id.clone(), ANNOUNCED_STOP);
+        self.0.insert(id.clone(), ANNOUNCED_SHUTDOWN);
     }
 
-    /// True if the endpoint announced its stop.
+    /// True if the endpoint announced its shutdown.
     fn has_left(&self, id: &str) -> bool {
-        self.0.get(id) == Some(&ANNOUNCED_STOP)
+        self.0.get(id) == Some(&ANNOUNCED_SHUTDOWN)
     }
 
     /// True if this heartbeat of an endpoint registered as leaving was sent after the
@@ -113,7 +114,7 @@
 
     /// Returns the registered incarnation if `end` has no birth time and may belong to the previous
     /// incarnation: the endpoint restarted just now, or possibly before this replica became the
-    /// leader, and has not announced its stop.
+    /// leader, and has not announced its shutdown.
     fn uncertain_incarnation(&self, now_ms: u64, end: &EndpointEnd) -> Option<RegisteredEndpoint> {
         if end.born_ms.is_some() {
             return None;
@@ -121,7 +122,7 @@
         let known = self.state.registry.named(&end.name)?;
         let restarted_at_ms = match self.registered.restarted_at_ms.get(&end.name) {
             Some(at_ms) => *at_ms,
-            None if self.state.registry.has_former_incarnation(known) => {
+            None if self.state.registry.has_previous_incarnation(known) => {
                 self.registered.leading_since_ms
             }
             None => return None,
--- a/src/control/replica/registration.rs
+++ b/src/control/replica/registration.rs
@@ -206,7 +206,7 @@
         let differs = known != Some(&heartbeat.endpoint);
         let was_leaving = known.is_some_and(|known| known.leaving);
         if heartbeat.endpoint.leaving {
-            // An endpoint that announced its stop is not used again.
+            // An endpoint that announced its shutdown is not used again.
             self.registered.uncertain_ends.record_leaving(id);
         }
         let is_new = if was_leaving { self.confirm_running(&heartbeat) } else { differs };
@@ -376,7 +376,9 @@
                 let up = SessionUp::Traffic { loads: Vec::new(), used, failing };
                 self.handle_gateway_message(now_ms, wall_ms, &from, up);
             }
-            SessionUp::CreditAsks(asks) => self.answer_credit(now_ms, id, &from.gateway, &asks),
+            SessionUp::CreditAsks(asks) => {
+                self.answer_credit_asks(now_ms, id, &from.gateway, &asks);
+            }
             SessionUp::Heartbeats(heartbeats) => {
                 for heartbeat in heartbeats {
                     self.process_heartbeat(now_ms, wall_ms, heartbeat, Waiter::NoReply);
@@ -405,7 +407,7 @@
             }
             SessionUp::Traffic { used, failing, .. } => {
                 self.registered.placement.used(now_ms, from, used);
-                self.registered.placement.mark_endpoints_unreachable(now_ms, &failing);
+                self.registered.placement.mark_endpoints_failing(now_ms, &failing);
             }
             SessionUp::Crashes(crashes) => self.record_crashes(now_ms, wall_ms, crashes),
             SessionUp::Served(key) => {
@@ -515,7 +517,7 @@
         });
     }
 
-    /// The adapters on endpoints, as far as this leader knows.
+    /// The weights that endpoints hold, as far as this leader knows.
     pub fn all_placed(&self) -> Vec<Placed> {
         self.registered.placement.all_placed()
     }
--- a/src/explain/losses.rs
+++ b/src/explain/losses.rs
@@ -16,13 +16,13 @@
 /// Way in which a request was lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Loss {
-    /// The answer began later than the route's objective.
+    /// The response began later than the route's objective.
     Late,
     /// The request did not run: 503, 429, or 401 for its key.
     Refused,
     /// The request may have run: 502 or 504.
     Failed,
-    /// The answer began and was interrupted.
+    /// The response began and was interrupted.
     Broken,
     /// An endpoint answered with an error status.
     EndpointError,
@@ -46,13 +46,13 @@
 /// Sums over all routes and windows.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Totals {
-    /// Requests whose answers began, including lost ones.
+    /// Requests whose responses began, including lost ones.
     pub answered: u64,
-    /// Answers that began later than the objective.
+    /// Responses that began later than the objective.
     pub late: u64,
-    /// Answers that were interrupted.
+    /// Responses that were interrupted.
     pub broken: u64,
-    /// Answers of endpoints with an error status.
+    /// Responses of endpoints with an error status.
     pub endpoint_errors: u64,
     /// Requests that were refused and did not run.
     pub refused: u64,
@@ -93,7 +93,7 @@
             }
             "failed" => {
                 self.totals.failed += 1;
-                // The answer had begun and was counted as answered, but did not reach the client.
+                // The response had begun and was counted as answered, but did not reach the client.
                 self.totals.answered -=
                     u64::from(line.text("answered") == "true").min(self.totals.answered);
                 self.add_loss(line, Loss::Failed, &strip_identifiers(line.text("reason")));
@@ -183,17 +183,17 @@
     }
 }
 
-/// Cause of a late answer: `sent again` after more than one attempt; otherwise the longest part of its
-/// time, which is waiting at the gateway (for weights or a free place), the expected time at the
-/// endpoint behind other prompts, or more than the expected time there.
+/// Cause of a late response: `sent again` after more than one attempt; otherwise the longest part
+/// of its time, which is waiting at the gateway (for weights or a free place), the expected time at
+/// the endpoint behind other prompts, or more than the expected time there.
 fn late_cause<'a>(line: &'a LogLine<'_>, after_ms: u64) -> &'a str {
-    let held_ms = line.millis("sent_after_ms").unwrap_or(0);
+    let sent_after_ms = line.millis("sent_after_ms").unwrap_or(0);
     let expected_ms = line.millis("expected_ms").unwrap_or(0);
-    let at_endpoint_ms = after_ms.saturating_sub(held_ms);
+    let at_endpoint_ms = after_ms.saturating_sub(sent_after_ms);
     if line.millis("tried").is_some_and(|tried| tried > 1) {
         return "sent again";
     }
-    if held_ms >= at_endpoint_ms {
+    if sent_after_ms >= at_endpoint_ms {
         let waited_for = line.text("waited_for");
         return if waited_for.is_empty() { "held at the gateway" } else { waited_for };
     }
--- a/src/gateway/answers.rs
+++ b/src/gateway/answers.rs
@@ -1,4 +1,4 @@
-//! Builds the HTTP responses to callers: whole, streamed, or replayed from the run ledger.
+//! Builds the HTTP responses to clients: whole, streamed, or replayed from the run ledger.
 
 use std::sync::Arc;
 
@@ -26,8 +26,8 @@
 pub const ADAPTER_VERSION_HEADER: &str = "winchvane-adapter-version";
 /// Response header: time that the request waited for its adapter to load, in milliseconds.
 pub const LOAD_WAIT_HEADER: &str = "winchvane-load-wait-ms";
-/// Response header: set when the answer is replayed from an earlier call with the same idempotency
-/// key.
+/// Response header: set when the response is replayed from an earlier call with the same
+/// idempotency key.
 pub const REPLAYED_HEADER: &str = "winchvane-replayed";
 
 pub(super) fn whole_answer(whole: WholeAnswer, adapter: Option<&AdapterKey>) -> Answer {
--- a/src/gateway/callers.rs
+++ b/src/gateway/callers.rs
@@ -1,4 +1,4 @@
-//! HTTP handler of the gateway's caller listener: checks requests, resolves the service that they
+//! HTTP handler of the gateway's client listener: checks requests, resolves the service that they
 //! name, and turns results and failures into responses.
 
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 
 use crate::endpoint::{IDEMPOTENCY_KEY_HEADER, REQUEST_ID_HEADER};
 use crate::gateway::answers::{StreamingBody, replayed_answer, stream_answer, whole_answer};
-use crate::gateway::claims::{self, CallOutcome};
+use crate::gateway::claims::{self, ClaimedCallOutcome};
 use crate::gateway::exchange::{self, Exchange, Reply};
 use crate::gateway::openai::{CompletionKind, CompletionRequest};
 use crate::gateway::problem::Problem;
@@ -26,7 +26,7 @@
 
 /// Request header: priority of the request.
 pub const PRIORITY_HEADER: &str = "winchvane-priority";
-/// Request header: longest time that the caller waits, in milliseconds.
+/// Request header: longest time that the client waits, in milliseconds.
 pub const DEADLINE_HEADER: &str = "winchvane-deadline-ms";
 
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 255;
@@ -35,19 +35,19 @@
 /// Interval at which a waiting request checks whether control has confirmed the configuration.
 const CONFIRMATION_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Serves callers' requests.
-pub struct CallerHandler {
+/// Serves clients' requests.
+pub struct ClientHandler {
     shared: Arc<Shared>,
 }
 
-impl CallerHandler {
+impl ClientHandler {
     /// Creates a handler for the gateway with this shared state.
     pub fn new(shared: Arc<Shared>) -> Self {
         Self { shared }
     }
 }
 
-impl HttpHandler for CallerHandler {
+impl HttpHandler for ClientHandler {
     fn handle(&self, request: Request<Incoming>) -> BoxFuture<'static, Answer> {
         let shared = self.shared.clone();
         Box::pin(async move {
@@ -167,7 +167,7 @@
 /// error when no confirmation comes in time.
 ///
 /// A gateway process that was suspended reads waiting requests before it can have received the next
-/// confirmation. Requests therefore wait for it for a short time, within the caller's deadline.
+/// confirmation. Requests therefore wait for it for a short time, within the client's deadline.
 async fn wait_until_fresh(shared: &Shared, deadline_ms: Option<u32>) -> Result<(), Problem> {
     let arrived_ms = shared.now_ms();
     let deadline_ms = arrived_ms + deadline_ms.map_or(u64::MAX / 2, u64::from);
@@ -186,13 +186,13 @@
     Err(Problem::busy("configuration_not_confirmed", message, BUSY_RETRY_AFTER_MS))
 }
 
-struct CallerOptions {
+struct ClientOptions {
     priority: Option<Priority>,
     deadline_ms: Option<u32>,
     idempotency_key: Option<Arc<str>>,
 }
 
-fn parse_caller_options(headers: &HeaderMap) -> Result<CallerOptions, Problem> {
+fn parse_client_options(headers: &HeaderMap) -> Result<ClientOptions, Problem> {
     let invalid_header =
         |message: String| Problem::invalid(StatusCode::BAD_REQUEST, "invalid_header", message);
     let priority = match header(headers, PRIORITY_HEADER) {
@@ -220,10 +220,10 @@
             }
         },
     };
-    Ok(CallerOptions { priority, deadline_ms, idempotency_key })
+    Ok(ClientOptions { priority, deadline_ms, idempotency_key })
 }
 
-async fn read_caller_body(shared: &Shared, body: Incoming) -> Result<Bytes, Problem> {
+async fn read_client_body(shared: &Shared, body: Incoming) -> Result<Bytes, Problem> {
     let limits = &shared.settings.limits;
     let body = read_body(body, limits.body_max_bytes, limits.body_timeout_ms).await;
     body.map_err(|fault| match fault {
@@ -254,7 +254,7 @@
 ) -> Result<Answer, Problem> {
     let arrived_ms = shared.now_ms();
     let (parts, body) = request.into_parts();
-    let options = parse_caller_options(&parts.headers)?;
+    let options = parse_client_options(&parts.headers)?;
     wait_until_fresh(shared, options.deadline_ms).await?;
     let content_type = header(&parts.headers, CONTENT_TYPE.as_str()).unwrap_or("");
     if !content_type.starts_with("application/json") {
@@ -262,7 +262,7 @@
         let status = StatusCode::UNSUPPORTED_MEDIA_TYPE;
         return Err(Problem::invalid(status, "wrong_content_type", message));
     }
-    let body = read_caller_body(shared, body).await?;
+    let body = read_client_body(shared, body).await?;
     let completion = CompletionRequest::parse(kind, &body)?;
     let (service, adapter) = resolve_model(shared, &completion.model)?;
     let stream = completion.stream;
@@ -289,7 +289,7 @@
     run(shared, exchange, options.idempotency_key, arrived_ms, Some(in_progress)).await
 }
 
-fn deadline_ms(options: &CallerOptions, service: &Service) -> u32 {
+fn deadline_ms(options: &ClientOptions, service: &Service) -> u32 {
     options.deadline_ms.map_or(service.deadline_ms, |deadline| deadline.min(service.deadline_ms))
 }
 
@@ -315,7 +315,7 @@
 ) -> Result<Answer, Problem> {
     let arrived_ms = shared.now_ms();
     let (parts, body) = request.into_parts();
-    let options = parse_caller_options(&parts.headers)?;
+    let options = parse_client_options(&parts.headers)?;
     wait_until_fresh(shared, options.deadline_ms).await?;
     let target = parts.uri.path_and_query().map_or("", |path| path.as_str());
     let rest = target.strip_prefix("/services/").unwrap_or("");
@@ -330,7 +330,7 @@
         let message = format!("service \"{name}\" is a model; call it at /v1/completions");
         return Err(Problem::invalid(StatusCode::BAD_REQUEST, "not_a_plain_service", message));
     }
-    let body = read_caller_body(shared, body).await?;
+    let body = read_client_body(shared, body).await?;
     let call = Call {
         method: parts.method.as_str().into(),
         path: path.as_str().into(),
@@ -394,27 +394,27 @@
 
 fn claimed_answer(
     shared: &Shared,
-    outcome: CallOutcome,
+    outcome: ClaimedCallOutcome,
     adapter: Option<&AdapterKey>,
 ) -> Result<Answer, Problem> {
     let conflict = |code, message: &str| Problem::invalid(StatusCode::CONFLICT, code, message);
     match outcome {
-        CallOutcome::Answered(whole) => Ok(whole_answer(whole, adapter)),
-        CallOutcome::Replayed(recorded) => {
+        ClaimedCallOutcome::Answered(whole) => Ok(whole_answer(whole, adapter)),
+        ClaimedCallOutcome::Replayed(recorded) => {
             shared.metrics.count(Counter::RequestsReplayed);
             Ok(replayed_answer(&recorded))
         }
-        CallOutcome::AnswerGone => Err(Problem {
+        ClaimedCallOutcome::AnswerGone => Err(Problem {
             status: StatusCode::GONE,
             run: RunState::Unknown,
             ..conflict("answer_not_kept", "this call ran before; its answer is not kept any more")
         }),
-        CallOutcome::InProgress => Err(Problem {
+        ClaimedCallOutcome::InProgress => Err(Problem {
             run: RunState::Unknown,
             retry_after_ms: Some(BUSY_RETRY_AFTER_MS),
             ..conflict("in_progress", "a call with this Idempotency-Key is in progress")
         }),
-        CallOutcome::Unknown => Err(Problem {
+        ClaimedCallOutcome::Unknown => Err(Problem {
             run: RunState::Unknown,
             ..conflict(
                 "outcome_unknown",
@@ -422,24 +422,24 @@
                  again",
             )
         }),
-        CallOutcome::OtherBody => Err(Problem::invalid(
+        ClaimedCallOutcome::OtherBody => Err(Problem::invalid(
             StatusCode::UNPROCESSABLE_ENTITY,
             "key_reused",
             "this Idempotency-Key was used for another call",
         )),
-        CallOutcome::TooOld => Err(Problem::invalid(
+        ClaimedCallOutcome::TooOld => Err(Problem::invalid(
             StatusCode::UNPROCESSABLE_ENTITY,
             "key_too_old",
             "this Idempotency-Key was issued longer ago than calls are remembered",
         )),
-        CallOutcome::Full => Err(Problem::busy(
+        ClaimedCallOutcome::Full => Err(Problem::busy(
             "ledger_full",
             "the run ledger takes no more keys",
             60 * BUSY_RETRY_AFTER_MS,
         )),
-        CallOutcome::NotClaimed(detail) => {
+        ClaimedCallOutcome::NotClaimed(detail) => {
             Err(Problem::busy("not_claimed", detail, BUSY_RETRY_AFTER_MS))
         }
-        CallOutcome::GivenUp(given_up) => Err(given_up.into()),
+        ClaimedCallOutcome::GivenUp(given_up) => Err(given_up.into()),
     }
 }
--- a/src/gateway/claims.rs
+++ b/src/gateway/claims.rs
@@ -20,12 +20,12 @@
 const SETTLE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Outcome of a call that must run at most once.
-pub enum CallOutcome {
-    /// The call ran now and gave this answer.
+pub enum ClaimedCallOutcome {
+    /// The call ran now and gave this response.
     Answered(WholeAnswer),
-    /// The call ran earlier; this is its recorded answer.
+    /// The call ran earlier; this is its recorded response.
     Replayed(Arc<RecordedAnswer>),
-    /// The call ran earlier, and its answer is no longer recorded.
+    /// The call ran earlier, and its response is no longer recorded.
     AnswerGone,
     /// Another call with this key is in progress.
     InProgress,
@@ -43,12 +43,12 @@
     GivenUp(GivenUp),
 }
 
-/// Claims the key of a call and runs the call. It runs to its end even if the caller disconnects.
-pub async fn run(shared: Arc<Shared>, exchange: Exchange, key: Arc<str>) -> CallOutcome {
+/// Claims the key of a call and runs the call. It runs to its end even if the client disconnects.
+pub async fn run(shared: Arc<Shared>, exchange: Exchange, key: Arc<str>) -> ClaimedCallOutcome {
     let task = tokio::spawn(async move { claim_and_run(&shared, &exchange, &key).await });
     match task.await {
         Ok(call_outcome) => call_outcome,
-        Err(error) => CallOutcome::GivenUp(GivenUp {
+        Err(error) => ClaimedCallOutcome::GivenUp(GivenUp {
             run: RunState::Unknown,
             refusal: None,
             retry_after_ms: 1_000,
@@ -57,7 +57,7 @@
     }
 }
 
-async fn claim_and_run(shared: &Arc<Shared>, exchange: &Exchange, key: &str) -> CallOutcome {
+async fn claim_and_run(shared: &Arc<Shared>, exchange: &Exchange, key: &str) -> ClaimedCallOutcome {
     let call = &exchange.call;
     let claim = Claim {
         key: KeyDigest::new(&exchange.service.workspace, &exchange.service.name, key),
@@ -74,13 +74,15 @@
         let outcome = match shared.control.call(&request, CLAIM_TIMEOUT_MS).await {
             Ok(ControlReply::Claimed(outcome)) => outcome,
             Ok(_) => {
-                return CallOutcome::NotClaimed("control gave another kind of answer".to_owned());
+                return ClaimedCallOutcome::NotClaimed(
+                    "control gave another kind of answer".to_owned(),
+                );
             }
             Err(error) => {
                 if !error.is_not_run() {
                     tokio::spawn(withdraw(shared.clone(), claim));
                 }
-                return CallOutcome::NotClaimed(error.to_string());
+                return ClaimedCallOutcome::NotClaimed(error.to_string());
             }
         };
         return match outcome {
@@ -89,25 +91,29 @@
                 tokio::time::sleep(IN_PROGRESS_POLL_INTERVAL).await;
                 continue;
             }
-            ClaimOutcome::InProgress => CallOutcome::InProgress,
-            ClaimOutcome::Finished(answer) => CallOutcome::Replayed(answer),
-            ClaimOutcome::FinishedWithoutAnswer => CallOutcome::AnswerGone,
-            ClaimOutcome::Unknown => CallOutcome::Unknown,
-            ClaimOutcome::OtherBody => CallOutcome::OtherBody,
-            ClaimOutcome::TooOld => CallOutcome::TooOld,
-            ClaimOutcome::Full => CallOutcome::Full,
+            ClaimOutcome::InProgress => ClaimedCallOutcome::InProgress,
+            ClaimOutcome::Finished(answer) => ClaimedCallOutcome::Replayed(answer),
+            ClaimOutcome::FinishedWithoutAnswer => ClaimedCallOutcome::AnswerGone,
+            ClaimOutcome::Unknown => ClaimedCallOutcome::Unknown,
+            ClaimOutcome::OtherBody => ClaimedCallOutcome::OtherBody,
+            ClaimOutcome::TooOld => ClaimedCallOutcome::TooOld,
+            ClaimOutcome::Full => ClaimedCallOutcome::Full,
             ClaimOutcome::StaleGateway => {
-                CallOutcome::NotClaimed("this gateway's registration has ended".to_owned())
+                ClaimedCallOutcome::NotClaimed("this gateway's registration has ended".to_owned())
             }
         };
     }
 }
 
-async fn run_claimed(shared: &Arc<Shared>, exchange: &Exchange, claim: &Claim) -> CallOutcome {
+async fn run_claimed(
+    shared: &Arc<Shared>,
+    exchange: &Exchange,
+    claim: &Claim,
+) -> ClaimedCallOutcome {
     let result = exchange::run(shared, exchange).await;
     let (settlement, call_outcome) = match result {
         Ok(Reply::Whole(whole)) => {
-            (finished(shared, exchange, &whole), CallOutcome::Answered(whole))
+            (finished(shared, exchange, &whole), ClaimedCallOutcome::Answered(whole))
         }
         Ok(Reply::Stream(_)) => {
             // Not expected: such calls are sent with `streams` set to false.
@@ -117,21 +123,21 @@
                 retry_after_ms: 1_000,
                 detail: "the answer was a stream".to_owned(),
             };
-            (Settlement::Unknown, CallOutcome::GivenUp(given_up))
+            (Settlement::Unknown, ClaimedCallOutcome::GivenUp(given_up))
         }
         Err(given_up) => {
             let settlement = match given_up.run {
                 RunState::NotRun => Settlement::NotRun,
                 RunState::Unknown => Settlement::Unknown,
             };
-            (settlement, CallOutcome::GivenUp(given_up))
+            (settlement, ClaimedCallOutcome::GivenUp(given_up))
         }
     };
     settle(shared, claim, settlement).await;
     call_outcome
 }
 
-/// The settlement for an answer, which is recorded unless its body is too large.
+/// The settlement for a response, which is recorded unless its body is too large.
 fn finished(shared: &Shared, exchange: &Exchange, whole: &WholeAnswer) -> Settlement {
     if whole.body.len() > shared.settings.limits.recorded_answer_max_bytes {
         return Settlement::Finished(None);
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -22,7 +22,7 @@
 
 /// A request with everything that is needed to run it.
 pub struct Exchange {
-    /// Id of the caller's request.
+    /// Id of the client's request.
     pub request_id: Arc<str>,
     /// Service that the request names.
     pub service: Arc<Service>,
@@ -30,25 +30,25 @@
     pub adapter: Option<AdapterKey>,
     /// Priority in the queues of endpoints.
     pub priority: Priority,
-    /// Time at which the caller stops waiting, by the process's clock.
+    /// Time at which the client stops waiting, by the process's clock.
     pub deadline_ms: u64,
     /// The HTTP call to the endpoint.
     pub call: Call,
     /// False when the call must run at most once.
     pub repeatable: bool,
-    /// True when the answer may be streamed to the caller.
+    /// True when the response may be streamed to the client.
     pub streams: bool,
 }
 
-/// An endpoint's answer.
+/// An endpoint's response.
 pub enum Reply {
-    /// The whole answer.
+    /// The whole response.
     Whole(WholeAnswer),
     /// The first chunk of a stream; more events follow.
     Stream(Streaming),
 }
 
-/// A whole answer.
+/// A whole response.
 pub struct WholeAnswer {
     /// HTTP status from the endpoint.
     pub status: u16,
@@ -60,7 +60,7 @@
     pub load_wait_ms: u32,
 }
 
-/// A streamed answer whose first chunk has arrived.
+/// A streamed response whose first chunk has arrived.
 pub struct Streaming {
     /// The content type.
     pub content_type: Arc<str>,
@@ -72,7 +72,7 @@
     pub rest: RemainingEvents,
 }
 
-/// The remaining events of an answer, limited by the request's deadline.
+/// The remaining events of a response, limited by the request's deadline.
 pub struct RemainingEvents {
     events: Events,
     deadline_ms: u64,
@@ -82,8 +82,9 @@
 impl RemainingEvents {
     /// Returns the next event, or a failure once the deadline has passed or the owner is gone.
     ///
-    /// An owner whose registration has ended may still send the rest of a running answer. If it also
-    /// sends no event for `OWNER_CHECK_INTERVAL_MS`, it is suspended or cut off and counts as gone.
+    /// An owner whose registration has ended may still send the rest of a running response. If it
+    /// also sends no event for `OWNER_CHECK_INTERVAL_MS`, it is suspended or disconnected and
+    /// counts as gone.
     pub async fn next(&mut self) -> ForwardEvent {
         loop {
             let clock = self.under_way.shared.clock;
@@ -110,16 +111,16 @@
     ForwardEvent::Failed { run: RunState::Unknown, detail: detail.to_owned() }
 }
 
-/// Why a request was given up, and what the caller may do next.
+/// Why a request was given up, and what the client may do next.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GivenUp {
     /// Whether the request may have run.
     pub run: RunState,
     /// The last refusal, if an endpoint or its owner refused the request.
     pub refusal: Option<Refusal>,
-    /// Delay before the caller should retry.
+    /// Delay before the client should retry.
     pub retry_after_ms: u32,
-    /// Description for the caller.
+    /// Description for the client.
     pub detail: String,
 }
 
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -47,7 +47,7 @@
             }
             sender.finish();
             // The other gateway closes the stream once it has received the last event. Returning
-            // before that would truncate its caller's answer.
+            // before that would truncate its client's response.
             if let Err(error) = receiver.next().await {
                 debug!(event = "forward_ended", detail = %error);
             }
@@ -56,7 +56,7 @@
     }
 }
 
-/// Guard that counts a forwarded request until the gateway that sent it has the whole answer.
+/// Guard that counts a forwarded request until the gateway that sent it has the whole response.
 struct ServingGuard {
     shared: Arc<Shared>,
 }
--- a/src/gateway/lease.rs
+++ b/src/gateway/lease.rs
@@ -5,10 +5,10 @@
 
 use crate::settings::LeaseSettings;
 
-/// Longest wait of requests for a missing confirmation, counted from the first request that missed it.
-/// A gateway process that had been suspended received the next confirmation 0.11 s after it resumed,
-/// beside 32 busy loops on 8 cores. After this time a gateway that is cut off from control refuses
-/// requests at once.
+/// Longest wait of requests for a missing confirmation, counted from the first request that missed
+/// it. A gateway process that had been suspended received the next confirmation 0.11 s after it
+/// resumed, beside 32 busy loops on 8 cores. After this time a gateway that is disconnected from
+/// control refuses requests at once.
 const CONFIRMATION_WAIT_MS: u64 = 500;
 
 /// Time limits for sending work and orders to endpoints (validity) and for admitting requests
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,4 +1,4 @@
-//! The gateway process: accepts requests from callers and routes them to endpoints.
+//! The gateway process: accepts requests from clients and routes them to endpoints.
 //!
 //! Each endpoint is owned by one gateway at a time, which queues and dispatches all requests to it.
 //! A gateway forwards requests for other endpoints to the gateways that own these.
--- a/src/gateway/openai.rs
+++ b/src/gateway/openai.rs
@@ -44,7 +44,7 @@
     fields: Map<String, Value>,
     /// Name of a service, or adapter and version.
     pub model: String,
-    /// True when the caller asks for a streamed answer.
+    /// True when the client asks for a streamed response.
     pub stream: bool,
 }
 
--- a/src/gateway/owner/mod.rs
+++ b/src/gateway/owner/mod.rs
@@ -317,7 +317,7 @@
             }
         }
         for job in abandoned {
-            // `cancel` skips running requests: these end once their answer cannot be sent.
+            // `cancel` skips running requests: these end once their response cannot be sent.
             if self.owner.cancel(job) {
                 self.shared.metrics.count(Counter::CallersGone);
                 self.held.remove(&job);
@@ -398,7 +398,7 @@
         let summary = Some(self.owner.summary(now_ms, false));
         let retry_after_ms = u32::try_from(retry_after_ms).unwrap_or(u32::MAX);
         let refused = ForwardEvent::Refused { refusal, retry_after_ms, summary };
-        // Not full, since this is the first event; fails only when the caller has disconnected.
+        // Not full, since this is the first event; fails only when the client has disconnected.
         let _ = held.events.try_send(refused);
     }
 
--- a/src/gateway/problem.rs
+++ b/src/gateway/problem.rs
@@ -1,4 +1,4 @@
-//! Error responses to callers: HTTP status, error object, whether the request may have run, and the
+//! Error responses to clients: HTTP status, error object, whether the request may have run, and the
 //! delay before a retry.
 
 use http::StatusCode;
@@ -17,7 +17,7 @@
 /// Response header: delay before a retry in milliseconds; `Retry-After` has whole seconds only.
 pub const RETRY_AFTER_MS_HEADER: &str = "winchvane-retry-after-ms";
 
-/// An error to be returned to the caller.
+/// An error to be returned to the client.
 pub struct Problem {
     /// The HTTP status.
     pub status: StatusCode,
@@ -36,7 +36,7 @@
 }
 
 impl Problem {
-    /// Creates an error for a request that the caller has to correct.
+    /// Creates an error for a request that the client has to correct.
     pub fn invalid(status: StatusCode, code: &'static str, message: impl Into<String>) -> Self {
         Self {
             status,
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -12,7 +12,7 @@
 use crate::admin::tidy_metrics;
 use crate::error::{Error, Result};
 use crate::gateway::admin::AdminHandler;
-use crate::gateway::callers::CallerHandler;
+use crate::gateway::callers::ClientHandler;
 use crate::gateway::forward::ForwardHandler;
 use crate::gateway::session;
 use crate::gateway::shared::Shared;
@@ -33,7 +33,7 @@
 pub async fn run(settings: GatewaySettings) -> Result<()> {
     let common = &settings.common;
     let metrics = Metrics::new(&common.metrics_prefix, common.metrics_address)?;
-    let callers = listen("listen for callers", settings.listen_callers).await?;
+    let callers = listen("listen for clients", settings.listen_callers).await?;
     let peers = listen("listen for peers", common.listen_peers).await?;
     let admin = listen("listen for operators", common.listen_admin).await?;
     let mut terminate = signal(SignalKind::terminate())
@@ -61,9 +61,9 @@
         stopped.clone(),
     );
     tokio::spawn(admin_server);
-    let caller_handler = Arc::new(CallerHandler::new(shared.clone()));
-    let caller_server =
-        tokio::spawn(http::serve(callers, caller_handler, limits, metrics, stopped));
+    let client_handler = Arc::new(ClientHandler::new(shared.clone()));
+    let client_server =
+        tokio::spawn(http::serve(callers, client_handler, limits, metrics, stopped));
     info!(
         event = "started",
         name = %common.name,
@@ -72,16 +72,16 @@
         admin = %common.listen_admin
     );
     terminate.recv().await;
-    planned_stop(&shared, &stop, caller_server).await;
+    shut_down_gracefully(&shared, &stop, client_server).await;
     Ok(())
 }
 
 /// Lets `/ready` fail, hands over every owned endpoint, and waits until running requests have ended,
 /// all within time limits.
-async fn planned_stop(
+async fn shut_down_gracefully(
     shared: &Arc<Shared>,
     stop: &watch::Sender<bool>,
-    caller_server: tokio::task::JoinHandle<()>,
+    client_server: tokio::task::JoinHandle<()>,
 ) {
     info!(event = "stopping", in_progress = shared.in_progress.load(Ordering::Relaxed));
     shared.stopping.store(true, Ordering::Relaxed);
@@ -98,8 +98,8 @@
     }
     let _ = stop.send(true);
     let finished = async {
-        let _ = caller_server.await;
-        // Forwarded requests have ended once the gateway that sent them has the whole answer.
+        let _ = client_server.await;
+        // Forwarded requests have ended once the gateway that sent them has the whole response.
         while shared.running.load(Ordering::Relaxed) + shared.serving.load(Ordering::Relaxed) > 0 {
             tokio::time::sleep(STOP_POLL_INTERVAL).await;
         }
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -1,4 +1,5 @@
-//! Runs one dispatched request: sends it to its endpoint, checks the answer and forwards it as events.
+//! Runs one dispatched request: sends it to its endpoint, checks the response and forwards it as
+//! events.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -37,8 +38,8 @@
 }
 
 impl DispatchedRequest {
-    /// Runs the request and forwards its answer. Returns the engine's refusal when the engine did not
-    /// start the request and no event was sent.
+    /// Runs the request and forwards its response. Returns the engine's refusal when the engine did
+    /// not start the request and no event was sent.
     pub async fn run(self) -> Option<EngineRefusal> {
         // The last check of the lease before the request is written. The lease's margin covers the
         // time between this check and the write.
@@ -75,8 +76,8 @@
         None
     }
 
-    /// Counts a caller that disconnected, detected by its closed channel or by a failed send.
-    fn count_caller_gone(&self) {
+    /// Counts a client that disconnected, detected by its closed channel or by a failed send.
+    fn count_client_gone(&self) {
         self.shared.metrics.count(Counter::CallersGone);
     }
 
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Forwards a whole answer, after checking its adapter if `adapter` is given.
+    /// Forwards a whole response, after checking its adapter if `adapter` is given.
     async fn forward_whole(
         &self,
         head: ForwardEvent,
@@ -121,7 +122,7 @@
         let body = Limited::new(answer.body, ANSWER_MAX_BYTES).collect();
         let body = tokio::select! {
             body = timeout(Duration::from_millis(idle_ms), body) => body,
-            () = self.events.closed() => return self.count_caller_gone(),
+            () = self.events.closed() => return self.count_client_gone(),
             () = until_endpoint_down(self.down.clone(), &self.request) => {
                 return self.fail("the endpoint does not answer any more").await;
             }
@@ -139,7 +140,7 @@
         if self.events.send(head).await.is_err()
             || self.events.send(ForwardEvent::Data(body.to_vec())).await.is_err()
         {
-            return self.count_caller_gone();
+            return self.count_client_gone();
         }
         let _ = self.events.send(ForwardEvent::End { summary: None }).await;
     }
@@ -155,8 +156,9 @@
         loop {
             let frame = tokio::select! {
                 frame = timeout(idle, answer.body.frame()) => frame,
-                // Dropping the answer closes its connection, which cancels the request at the engine.
-                () = self.events.closed() => return self.count_caller_gone(),
+                // Dropping the response closes its connection, which cancels the request at the
+                // engine.
+                () = self.events.closed() => return self.count_client_gone(),
             };
             let chunk: Bytes = match frame {
                 Ok(Some(Ok(frame))) => match frame.into_data() {
@@ -177,10 +179,10 @@
             if let Some(head) = head.take()
                 && self.events.send(head).await.is_err()
             {
-                return self.count_caller_gone();
+                return self.count_client_gone();
             }
             if self.events.send(ForwardEvent::Data(events.to_vec())).await.is_err() {
-                return self.count_caller_gone();
+                return self.count_client_gone();
             }
         }
         if checker.is_complete() {
@@ -209,8 +211,8 @@
 }
 
 /// Completes once the endpoint counts as down, if the request names an adapter. Never completes for
-/// calls of plain services: their answer is awaited to the end, since many of them must run at most
-/// once.
+/// calls of plain services: their response is awaited to the end, since many of them must run at
+/// most once.
 async fn until_endpoint_down(mut down: watch::Receiver<bool>, request: &ForwardRequest) {
     if request.adapter.is_none() || down.wait_for(|down| *down).await.is_err() {
         std::future::pending::<()>().await;
--- a/src/gateway/session.rs
+++ b/src/gateway/session.rs
@@ -1,5 +1,5 @@
-//! The gateway's session with control's leader: registers the gateway, renews its lease, and applies
-//! changes of services and of the fleet.
+//! The gateway's session with the control leader: registers the gateway, renews its lease, and
+//! applies changes of services and of the fleet.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 
 const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
-/// Keeps a session with control's leader until the process ends; reconnects after each failure.
+/// Keeps a session with the control leader until the process ends; reconnects after each failure.
 /// `queue` holds the messages to send.
 pub async fn run(shared: Arc<Shared>, boot_id: u64, mut queue: mpsc::UnboundedReceiver<SessionUp>) {
     loop {
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -47,13 +47,13 @@
     pub http: HttpClient,
     /// Queue of messages for the session with control.
     pub session: mpsc::UnboundedSender<SessionUp>,
-    /// True once a planned stop has begun.
+    /// True once a graceful shutdown has begun.
     pub stopping: AtomicBool,
-    /// Number of callers' requests in progress.
+    /// Number of clients' requests in progress.
     pub in_progress: AtomicUsize,
     /// Number of requests that run at owned endpoints.
     pub running: AtomicUsize,
-    /// Number of requests from other gateways that do not have the whole answer yet.
+    /// Number of requests from other gateways that do not have the whole response yet.
     pub serving: AtomicUsize,
     directory: RwLock<Directory>,
     router: Mutex<Router>,
@@ -155,12 +155,12 @@
         self.changed.subscribe()
     }
 
-    /// True once a planned stop has begun.
+    /// True once a graceful shutdown has begun.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// True when callers' requests may be admitted.
+    /// True when clients' requests may be admitted.
     pub fn is_ready(&self) -> bool {
         !self.is_stopping() && self.lease.is_fresh(self.now_ms())
     }
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -1,4 +1,4 @@
-//! Checks an engine's answer before it is forwarded: every part must come from the adapter and
+//! Checks an engine's response before it is forwarded: every part must come from the adapter and
 //! version that the request named, and a stream must be complete.
 
 use bytes::{Bytes, BytesMut};
@@ -17,16 +17,16 @@
     model: Option<std::borrow::Cow<'a, str>>,
 }
 
-/// Why an answer is rejected.
+/// Why a response is rejected.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AnswerFault {
-    /// Another adapter or version answered; holds the `model` of the answer.
+    /// Another adapter or version answered; holds the `model` of the response.
     WrongAdapter(String),
-    /// The answer does not have the form of an engine's answer.
+    /// The response does not have the form of an engine's response.
     Malformed(&'static str),
 }
 
-/// Checks a whole JSON answer.
+/// Checks a whole JSON response.
 ///
 /// # Errors
 /// Another adapter or version answered, or the body is not JSON with a `model`.
@@ -55,7 +55,7 @@
 }
 
 impl EventChecker {
-    /// Creates a checker for answers of `adapter`.
+    /// Creates a checker for responses of `adapter`.
     pub fn new(adapter: AdapterKey) -> Self {
         Self { adapter, buffer: BytesMut::new(), done: false }
     }
@@ -89,7 +89,7 @@
 
     fn check_event(&mut self, event: &[u8]) -> Result<(), AnswerFault> {
         let Some(data) = event.strip_prefix(DATA_PREFIX) else {
-            // Comments and other fields contain no part of the answer.
+            // Comments and other fields contain no part of the response.
             return Ok(());
         };
         let data = data.trim_ascii();
--- a/src/policy/endpoint_backoff.rs
+++ b/src/policy/endpoint_backoff.rs
@@ -31,16 +31,16 @@
         until_ms.max(self.next_probe_ms).saturating_sub(now_ms)
     }
 
-    /// Notes that a request is sent; after the backoff, it is a probe.
+    /// Records that a request is sent; after the backoff, it is a probe.
     pub fn note_sent(&mut self, now_ms: u64) {
         if self.until_ms.is_some() {
             self.next_probe_ms = now_ms + PROBE_INTERVAL_MS;
         }
     }
 
-    /// Notes that the endpoint accepted a request; returns true if that ends the backoff.
+    /// Records that the endpoint accepted a request; returns true if that ends the backoff.
     pub fn note_accepted(&mut self, now_ms: u64) -> bool {
-        // An answer received during the backoff belongs to a request sent before it.
+        // A response received during the backoff belongs to a request sent before it.
         if self.until_ms.is_none_or(|until_ms| now_ms < until_ms) {
             return false;
         }
--- a/src/policy/endpoint_limit.rs
+++ b/src/policy/endpoint_limit.rs
@@ -7,8 +7,8 @@
 
 use std::collections::VecDeque;
 
-/// The lowest limit that is enforced: at zero, no request would be sent whose answer could show that
-/// the limit has ended.
+/// The lowest limit that is enforced: at zero, no request would be sent whose response could show
+/// that the limit has ended.
 const LIMIT_MIN_PER_S: f64 = 0.1;
 /// The highest limit; no endpoint serves more.
 const LIMIT_MAX_PER_S: f64 = 1e6;
--- a/src/policy/owner/loads.rs
+++ b/src/policy/owner/loads.rs
@@ -97,7 +97,7 @@
         self.schedule(now_ms);
     }
 
-    /// Notes that a permit was denied; pauses asks for `retry_after_ms`.
+    /// Records that a permit was denied; pauses asks for `retry_after_ms`.
     pub fn permit_denied(&mut self, now_ms: u64, retry_after_ms: u64) {
         self.permits_asked = self.permits_asked.saturating_sub(1);
         self.permit_pause_until_ms = now_ms + retry_after_ms;
--- a/src/policy/owner/mod.rs
+++ b/src/policy/owner/mod.rs
@@ -301,12 +301,12 @@
         true
     }
 
-    /// Removes a waiting request without an answer; returns false if it was not waiting.
+    /// Removes a waiting request without a response; returns false if it was not waiting.
     pub fn cancel(&mut self, job: u64) -> bool {
         !self.queue.take(|waiting| waiting.id == job).is_empty()
     }
 
-    /// Notes that a dispatched request has ended.
+    /// Records that a dispatched request has ended.
     pub fn finished(&mut self, now_ms: u64, job: u64) {
         let Some(running) = self.running.remove(&job) else { return };
         let took_ms = now_ms.saturating_sub(running.started_ms) as f64;
@@ -326,7 +326,7 @@
         self.schedule(now_ms);
     }
 
-    /// Notes that the engine does not have an adapter that this owner considered loaded.
+    /// Records that the engine does not have an adapter that this owner considered loaded.
     pub fn adapter_missing(&mut self, now_ms: u64, adapter: &AdapterKey) {
         if self.slots.get(adapter).is_some_and(|slot| slot.loaded_at_ms.is_some()) {
             self.slots.remove(adapter);
--- a/src/policy/queue.rs
+++ b/src/policy/queue.rs
@@ -18,7 +18,7 @@
     pub priority: Priority,
     /// The time of arrival.
     pub arrived_ms: u64,
-    /// The time at which the caller stops waiting.
+    /// The time at which the client stops waiting.
     pub deadline_ms: u64,
 }
 
--- a/src/policy/quota/credits.rs
+++ b/src/policy/quota/credits.rs
@@ -142,14 +142,14 @@
         Admission::Wait
     }
 
-    /// Notes that a request waits for `cost` units.
+    /// Records that a request waits for `cost` units.
     pub fn begin_wait(&mut self, workspace: &str, cost: u64) {
         if let Some(credit) = self.by_workspace.get_mut(workspace) {
             credit.waiting += cost;
         }
     }
 
-    /// Notes that a request no longer waits for `cost` units.
+    /// Records that a request no longer waits for `cost` units.
     pub fn end_wait(&mut self, workspace: &str, cost: u64) {
         if let Some(credit) = self.by_workspace.get_mut(workspace) {
             credit.waiting = credit.waiting.saturating_sub(cost);
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Notes a new connection to a leader or distributor, which knows of no ask yet.
+    /// Records a new connection to a leader or distributor, which knows of no ask yet.
     pub fn linked(&mut self) {
         self.is_linked = true;
         for credit in self.by_workspace.values_mut() {
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Notes that the connection is lost: pending asks will not be answered.
+    /// Records that the connection is lost: pending asks will not be answered.
     pub fn unlinked(&mut self) {
         self.is_linked = false;
         for credit in self.by_workspace.values_mut() {
--- a/src/policy/quota/distributor_pool.rs
+++ b/src/policy/quota/distributor_pool.rs
@@ -153,7 +153,7 @@
         answers
     }
 
-    /// Notes a new connection to a leader, which knows of no ask yet.
+    /// Records a new connection to a leader, which knows of no ask yet.
     pub fn linked(&mut self) {
         self.is_linked = true;
         for credit in self.by_workspace.values_mut() {
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Notes that the connection to the leader is lost.
+    /// Records that the connection to the leader is lost.
     pub fn unlinked(&mut self) {
         self.is_linked = false;
         for credit in self.by_workspace.values_mut() {
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Notes that a gateway's session has ended; its credit stays outstanding until it expires.
+    /// Records that a gateway's session has ended; its credit stays outstanding until it expires.
     pub fn closed(&mut self, holder: &str) {
         for credit in self.by_workspace.values_mut() {
             credit.waiting.retain(|(waiting, _)| &**waiting != holder);
--- a/src/policy/quota/mod.rs
+++ b/src/policy/quota/mod.rs
@@ -9,8 +9,8 @@
 //! The units used in any window do not exceed the units granted in it plus the units that were
 //! outstanding, that is granted and unused, when it began. The pool limits the granted units to the
 //! rate times the window, plus the burst. The outstanding units are limited by what the operator
-//! allows above that ([`QuotaBounds`]): the leader knows what its holders have, and counts what an
-//! earlier leader may have granted as outstanding until it has expired. Credit expires
+//! allows above that ([`QuotaBounds`]): the leader knows what its holders have, and counts what a
+//! previous leader may have granted as outstanding until it has expired. Credit expires
 //! [`CREDIT_VALID_MS`] after its holder last asked the leader, so that the credit of a gateway that
 //! is disconnected or gone does not stay outstanding.
 
@@ -80,7 +80,7 @@
     pub(crate) burst: f64,
     /// Units that may be outstanding.
     pub(crate) outstanding: f64,
-    /// Units that a new leader may grant at once, in addition to those of an earlier leader.
+    /// Units that a new leader may grant at once, in addition to those of previous leaders.
     pub(crate) initial: f64,
 }
 
--- a/src/policy/quota/pool.rs
+++ b/src/policy/quota/pool.rs
@@ -12,7 +12,7 @@
 const ADVANCE_FRACTION: f64 = 0.95;
 /// The fraction of the burst that is reserved for waiting requests.
 const RESERVED_BURST_FRACTION: f64 = 0.5;
-/// The fraction of the outstanding limit that a new leader grants while credit of an earlier one
+/// The fraction of the outstanding limit that a new leader grants while credit of previous ones
 /// may still be outstanding.
 const AFTER_ELECTION_FRACTION: f64 = 0.2;
 /// The maximum time that an ask waits for units to be refilled; an ask that would wait longer is
@@ -24,7 +24,7 @@
 
 /// The pool of one workspace.
 #[derive(Debug)]
-struct Pool {
+struct CreditPool {
     quota: Quota,
     shares: Shares,
     level: f64,
@@ -32,11 +32,11 @@
     /// Asks that wait for units to be refilled, oldest first.
     queue: VecDeque<(Arc<str>, CreditAsk)>,
     holders: Holders,
-    /// Units that holders had from an earlier leader when they first asked this one.
+    /// Units that holders had from previous leaders when they first asked this one.
     adopted: f64,
 }
 
-impl Pool {
+impl CreditPool {
     fn new(now_ms: u64, quota: Quota, shares: Shares, level: f64) -> Self {
         Self {
             quota,
@@ -56,23 +56,23 @@
         self.level = (self.level + refilled).min(self.shares.burst);
     }
 
-    /// Answers an ask, unless it waits for units to be refilled. While the leader `follows` another
-    /// one, units granted by that leader may be outstanding too.
+    /// Answers an ask, unless it waits for units to be refilled. While `is_after_election`
+    /// is true, units granted by previous leaders may be outstanding too.
     fn ask(
         &mut self,
         now_ms: u64,
         holder: &Arc<str>,
         ask: &CreditAsk,
-        follows: bool,
+        is_after_election: bool,
     ) -> Option<CreditGrant> {
         self.refill(now_ms);
         self.holders.remove_expired(now_ms);
         self.queue.retain(|(waiting, _)| waiting != holder);
         let is_new = self.holders.record_ask(now_ms, holder, ask);
-        if follows && is_new {
-            self.adopted = (self.adopted + ask.held as f64).min(self.earlier_outstanding_max());
+        if is_after_election && is_new {
+            self.adopted = (self.adopted + ask.held as f64).min(self.previous_outstanding_max());
         }
-        let outstanding_max = self.outstanding_max(follows);
+        let outstanding_max = self.outstanding_max(is_after_election);
         // Units that requests wait for are used at once, so they do not count as outstanding.
         let (urgent, available) = (ask.urgent as f64, self.level.max(0.0));
         let queued: f64 = self.queue.iter().map(|(_, ask)| ask.urgent as f64).sum();
@@ -142,17 +142,17 @@
         wanted.min(spare).min(advance_max - self.holders.held() as f64).max(0.0)
     }
 
-    /// The maximum number of units of an earlier leader that may be outstanding.
-    fn earlier_outstanding_max(&self) -> f64 {
+    /// The maximum number of units of previous leaders that may be outstanding.
+    fn previous_outstanding_max(&self) -> f64 {
         self.shares.outstanding * (1.0 - AFTER_ELECTION_FRACTION)
     }
 
     /// The maximum number of units that may be outstanding with known holders.
-    fn outstanding_max(&self, follows: bool) -> f64 {
-        if follows {
+    fn outstanding_max(&self, is_after_election: bool) -> f64 {
+        if is_after_election {
             self.adopted + self.shares.outstanding * AFTER_ELECTION_FRACTION
         } else {
-            self.earlier_outstanding_max()
+            self.previous_outstanding_max()
         }
     }
 }
@@ -161,21 +161,26 @@
 #[derive(Debug)]
 pub struct CreditPools {
     bounds: QuotaBounds,
-    /// The time until which units of an earlier leader may be outstanding.
-    earlier_until_ms: u64,
-    by_workspace: HashMap<Arc<str>, Pool>,
+    /// The time until which units of previous leaders may be outstanding.
+    previous_credit_until_ms: u64,
+    by_workspace: HashMap<Arc<str>, CreditPool>,
     /// Workspaces with waiting asks.
     queued: HashSet<Arc<str>>,
 }
 
 impl CreditPools {
-    /// Creates a set without pools; a leader that follows another one also calls
+    /// Creates a set without pools; a leader that succeeds another one also calls
     /// [`with_previous_leader`](Self::with_previous_leader).
     pub fn new(bounds: QuotaBounds) -> Self {
-        Self { bounds, earlier_until_ms: 0, by_workspace: HashMap::new(), queued: HashSet::new() }
+        Self {
+            bounds,
+            previous_credit_until_ms: 0,
+            by_workspace: HashMap::new(),
+            queued: HashSet::new(),
+        }
     }
 
-    /// Creates the pools of a leader that follows another one, whose units may still be
+    /// Creates the pools of a leader that succeeds another one, whose units may still be
     /// outstanding.
     ///
     /// The pools start empty, so that successive leaders together grant no more than the quota's
@@ -191,13 +196,13 @@
             pool.level = 0.0;
         }
         if !self.by_workspace.is_empty() {
-            self.earlier_until_ms = now_ms + CREDIT_VALID_MS + EXPIRY_MARGIN_MS;
+            self.previous_credit_until_ms = now_ms + CREDIT_VALID_MS + EXPIRY_MARGIN_MS;
         }
         self
     }
 
-    /// Fills the pools of a leader that follows another one with a part of their burst if the term
-    /// of the earlier leader began at least one window ago: at most one leader per window does so.
+    /// Fills the pools of a leader that succeeds another one with a part of their burst if the term
+    /// of the previous leader began at least one window ago: at most one leader per window does so.
     #[must_use]
     pub fn with_previous_term_age(mut self, ago_ms: u64) -> Self {
         if ago_ms < self.bounds.window_ms {
@@ -218,7 +223,7 @@
             let shares = Shares::new(quota, self.bounds);
             let mut pool = match before.remove(&workspace.name) {
                 Some(pool) if pool.quota.unit == quota.unit => pool,
-                _ => Pool::new(now_ms, quota, shares, shares.burst),
+                _ => CreditPool::new(now_ms, quota, shares, shares.burst),
             };
             pool.refill(now_ms);
             pool.quota = quota;
@@ -233,12 +238,12 @@
     /// For a workspace without a quota, the units that requests wait for are granted: the holder
     /// has another version of the configuration.
     pub fn ask(&mut self, now_ms: u64, holder: &Arc<str>, ask: &CreditAsk) -> Option<CreditGrant> {
-        let follows = now_ms < self.earlier_until_ms;
+        let is_after_election = now_ms < self.previous_credit_until_ms;
         let Some(pool) = self.by_workspace.get_mut(&ask.workspace) else {
             let (workspace, valid_ms) = (ask.workspace.clone(), CREDIT_VALID_MS as u32);
             return Some(CreditGrant { workspace, units: ask.urgent, dry_ms: 0, valid_ms });
         };
-        let answer = pool.ask(now_ms, holder, ask, follows);
+        let answer = pool.ask(now_ms, holder, ask, is_after_election);
         if answer.is_none() {
             self.queued.insert(ask.workspace.clone());
         }
--- a/src/policy/route.rs
+++ b/src/policy/route.rs
@@ -11,14 +11,14 @@
 use crate::message::{AdapterKey, Summary};
 use crate::settings::PolicySettings;
 
-/// The maximum number of homes of an adapter. Homes are the endpoints considered for an adapter
-/// that is loaded nowhere, in the order of their hash with the adapter: all gateways consider the
-/// same few, so that they rarely load it twice.
+/// The maximum of the setting `homes`, the number of candidates for an adapter. Candidates are the
+/// endpoints considered for an adapter that is loaded nowhere, in the order of their hash with the
+/// adapter: all gateways consider the same few, so that they rarely load it twice.
 pub const MAX_HOMES: usize = 32;
-/// The number of endpoints ranked in addition to the wanted homes.
-const SPARE_HOMES: usize = 4;
-/// The additional cost of each later home, as a fraction of the time of a load.
-const LATER_HOME_COST: f64 = 0.05;
+/// The number of endpoints ranked in addition to the wanted candidates.
+const SPARE_CANDIDATES: usize = 4;
+/// The additional cost of each later candidate, as a fraction of the time of a load.
+const LATER_CANDIDATE_COST: f64 = 0.05;
 /// The time over which requests for an evicted adapter count as a cost of its eviction.
 const EVICTION_HORIZON_S: f64 = 10.0;
 /// The slowdown of a request in a full batch compared with a request alone, as a fraction of the
@@ -26,12 +26,12 @@
 const FULL_BATCH_COST: f64 = 0.35;
 /// The cost of an empty batch per unit of batch weight, as a fraction of the service time.
 const EMPTY_BATCH_COST: f64 = 0.6;
-/// How long an endpoint is avoided after it failed to answer.
-const AVOID_MS: u64 = 500;
+/// How long an endpoint is paused after it failed to answer.
+const PAUSE_MS: u64 = 500;
 
 /// An endpoint as known to this gateway.
 #[derive(Debug)]
-pub struct Place {
+pub struct EndpointState {
     /// The name of the endpoint.
     pub name: Arc<str>,
     /// The pool of the endpoint.
@@ -43,7 +43,7 @@
     /// True if the endpoint is about to shut down.
     pub leaving: bool,
     healthy: bool,
-    avoided_until_ms: u64,
+    paused_until_ms: u64,
     running: u32,
     queued: u32,
     /// Requests of this gateway that run or wait at the endpoint.
@@ -54,18 +54,18 @@
     adapters: Vec<AdapterKey>,
 }
 
-impl Place {
+impl EndpointState {
     fn load(&self) -> f64 {
         f64::from((self.running + self.queued).max(self.own_requests))
     }
 
     fn can_take_work(&self, now_ms: u64) -> bool {
-        self.healthy && !self.leaving && self.owner.is_some() && now_ms >= self.avoided_until_ms
+        self.healthy && !self.leaving && self.owner.is_some() && now_ms >= self.paused_until_ms
     }
 }
 
 /// The index of an endpoint and the hash of its name, so that ranking a pool does not access every
-/// `Place`.
+/// `EndpointState`.
 #[derive(Debug, Clone, Copy)]
 struct Member {
     position: usize,
@@ -76,7 +76,7 @@
 #[derive(Debug)]
 pub struct Router {
     settings: PolicySettings,
-    places: Vec<Option<Place>>,
+    places: Vec<Option<EndpointState>>,
     by_name: HashMap<Arc<str>, usize>,
     pools: HashMap<Arc<str>, Vec<Member>>,
     holders: HashMap<AdapterKey, Vec<usize>>,
@@ -120,7 +120,7 @@
                 place.running = 0;
                 place.queued = 0;
                 place.healthy = true;
-                place.avoided_until_ms = 0;
+                place.paused_until_ms = 0;
             }
             place.owner = owner;
             place.epoch = epoch;
@@ -128,14 +128,14 @@
             return;
         }
         let position = self.places.len();
-        self.places.push(Some(Place {
+        self.places.push(Some(EndpointState {
             name: name.clone(),
             pool: pool.clone(),
             owner,
             epoch,
             leaving,
             healthy: true,
-            avoided_until_ms: 0,
+            paused_until_ms: 0,
             running: 0,
             queued: 0,
             own_requests: 0,
@@ -168,7 +168,7 @@
     }
 
     /// The endpoint called `name`.
-    pub fn place(&self, name: &str) -> Option<&Place> {
+    pub fn place(&self, name: &str) -> Option<&EndpointState> {
         self.places[*self.by_name.get(name)?].as_ref()
     }
 
@@ -176,8 +176,8 @@
     pub fn observe(&mut self, summary: Summary) {
         let Some(position) = self.by_name.get(&summary.endpoint).copied() else { return };
         let Some(place) = &mut self.places[position] else { return };
-        let is_outdated = (summary.epoch, summary.sequence) <= (place.epoch, place.sequence);
-        if summary.epoch < place.epoch || is_outdated {
+        let is_stale = (summary.epoch, summary.sequence) <= (place.epoch, place.sequence);
+        if summary.epoch < place.epoch || is_stale {
             return;
         }
         place.sequence = summary.sequence;
@@ -223,7 +223,8 @@
         })
     }
 
-    /// Notes that a request was sent to an endpoint; [`note_ended`](Self::note_ended) must follow.
+    /// Records that a request was sent to an endpoint; [`note_ended`](Self::note_ended) must
+    /// follow.
     pub fn note_sent(&mut self, name: &str, adapter: Option<&AdapterKey>) {
         let Some(position) = self.by_name.get(name).copied() else { return };
         let Some(place) = &mut self.places[position] else { return };
@@ -237,7 +238,7 @@
         self.holders.entry(adapter.clone()).or_default().push(position);
     }
 
-    /// Notes that a request sent to an endpoint has ended.
+    /// Records that a request sent to an endpoint has ended.
     pub fn note_ended(&mut self, name: &str) {
         let Some(position) = self.by_name.get(name).copied() else { return };
         if let Some(place) = &mut self.places[position] {
@@ -245,19 +246,19 @@
         }
     }
 
-    /// Notes that an endpoint does not answer, before its owner's summary says so.
+    /// Records that an endpoint does not answer, before its owner's summary says so.
     pub fn note_down(&mut self, now_ms: u64, name: &str) {
         let Some(position) = self.by_name.get(name).copied() else { return };
         if let Some(place) = &mut self.places[position] {
-            place.avoided_until_ms = now_ms + AVOID_MS;
+            place.paused_until_ms = now_ms + PAUSE_MS;
         }
     }
 
-    /// Notes that a gateway does not answer; avoids the endpoints that it owns for `AVOID_MS`.
+    /// Records that a gateway does not answer; pauses the endpoints that it owns for `PAUSE_MS`.
     pub fn note_owner_down(&mut self, now_ms: u64, owner: &str) {
         for place in self.places.iter_mut().flatten() {
             if place.owner.as_deref() == Some(owner) {
-                place.avoided_until_ms = now_ms + AVOID_MS;
+                place.paused_until_ms = now_ms + PAUSE_MS;
             }
         }
     }
@@ -269,7 +270,7 @@
         pool: &str,
         adapter: Option<&AdapterKey>,
         tried: &[Arc<str>],
-    ) -> Option<&'a Place> {
+    ) -> Option<&'a EndpointState> {
         let members = self.pools.get(pool)?;
         let filter = Filter { now_ms, pool, tried };
         let mut best = Best::default();
@@ -297,19 +298,19 @@
             if place.adapters.contains(adapter) {
                 continue;
             }
-            let later_home_ms = order as f64 * LATER_HOME_COST * self.load_ms;
+            let later_candidate_ms = order as f64 * LATER_CANDIDATE_COST * self.load_ms;
             let miss_ms = self.miss_cost(f64::from(place.coldest_rate));
-            best.consider(self.wait_and_batch_cost(place) + miss_ms + later_home_ms, place);
+            best.consider(self.wait_and_batch_cost(place) + miss_ms + later_candidate_ms, place);
         }
         best.place
     }
 
-    fn admitted(&self, position: usize, filter: &Filter<'_>) -> Option<&Place> {
+    fn admitted(&self, position: usize, filter: &Filter<'_>) -> Option<&EndpointState> {
         self.places[position].as_ref().filter(|place| filter.admits(place))
     }
 
     /// The cost of the wait and of the batch at an endpoint, in milliseconds of a request's time.
-    fn wait_and_batch_cost(&self, place: &Place) -> f64 {
+    fn wait_and_batch_cost(&self, place: &EndpointState) -> f64 {
         let wait_ms = self.wait_ms(place);
         let fill = (place.load() / f64::from(place.places)).min(1.0);
         let full_batch_ms =
@@ -322,7 +323,7 @@
     }
 
     /// The expected wait for a free place.
-    fn wait_ms(&self, place: &Place) -> f64 {
+    fn wait_ms(&self, place: &EndpointState) -> f64 {
         let places = f64::from(place.places);
         (place.load() + 1.0 - places).max(0.0) / places * self.service_ms
     }
@@ -335,12 +336,17 @@
 
     /// The first endpoints of a pool that can take work, in the order of their hash with the
     /// adapter.
-    fn homes(&self, adapter: &AdapterKey, members: &[Member], filter: &Filter<'_>) -> Vec<&Place> {
+    fn homes(
+        &self,
+        adapter: &AdapterKey,
+        members: &[Member],
+        filter: &Filter<'_>,
+    ) -> Vec<&EndpointState> {
         let seed = xxh3_64(adapter.name.as_bytes()) ^ u64::from(adapter.version);
         let wanted = self.settings.homes;
         // Ranks a few more than wanted, in case some of them cannot take work; ranks all if none of
         // them can.
-        for ranked in [(wanted + SPARE_HOMES).min(MAX_HOMES), members.len()] {
+        for ranked in [(wanted + SPARE_CANDIDATES).min(MAX_HOMES), members.len()] {
             let mut homes = Vec::with_capacity(wanted);
             for position in first_by_hash(seed, members, ranked) {
                 let Some(place) = self.admitted(position, filter) else { continue };
@@ -379,7 +385,7 @@
 }
 
 impl Filter<'_> {
-    fn admits(&self, place: &Place) -> bool {
+    fn admits(&self, place: &EndpointState) -> bool {
         place.can_take_work(self.now_ms)
             && &*place.pool == self.pool
             && !self.tried.contains(&place.name)
@@ -388,7 +394,7 @@
 
 struct Best<'a> {
     cost: f64,
-    place: Option<&'a Place>,
+    place: Option<&'a EndpointState>,
 }
 
 impl Default for Best<'_> {
@@ -398,7 +404,7 @@
 }
 
 impl<'a> Best<'a> {
-    fn consider(&mut self, cost: f64, place: &'a Place) {
+    fn consider(&mut self, cost: f64, place: &'a EndpointState) {
         if self.place.is_none() || cost < self.cost {
             *self = Self { cost, place: Some(place) };
         }
--- a/src/policy/versions.rs
+++ b/src/policy/versions.rs
@@ -26,7 +26,7 @@
 /// that is not stalled has refused its waiting requests as not run, which is better for the client;
 /// the rest of the allowed time is for the withdrawal to arrive.
 pub const BEGUN_PERCENT: u64 = 80;
-/// The number of steps that the allowed time is divided into: a version announced within a step of
+/// The number of steps that the allowed time is divided into: a version published within a step of
 /// the previous one becomes due together with it, so that at most one version per step, plus one,
 /// is stored.
 const STEPS: u64 = 8;
@@ -34,7 +34,7 @@
 /// The known versions of one model or adapter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct KnownVersion {
-    /// The newest announced version.
+    /// The newest published version.
     pub newest: u64,
     /// How long this process has known the newest version.
     pub known_for_ms: u64,
@@ -76,7 +76,7 @@
     }
 }
 
-/// The announced versions of all weights.
+/// The published versions of all weights.
 #[derive(Debug)]
 pub struct Versions {
     /// How long a replaced version may still be used.
@@ -90,7 +90,7 @@
         Self { usable_ms, weights: HashMap::new() }
     }
 
-    /// Records a version that was announced at `now_ms` or later.
+    /// Records a version that was published at `now_ms` or later.
     pub fn record(&mut self, now_ms: u64, name: WeightsName, version: u64) {
         let due_at_ms = now_ms + self.usable_ms;
         let step_ms = self.usable_ms / STEPS;
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Records a version that was announced at an unknown earlier time: no older version may be
+    /// Records a version that was published at an unknown earlier time: no older version may be
     /// used.
     pub fn record_with_unknown_age(&mut self, now_ms: u64, name: WeightsName, version: u64) {
         let Some(weights) = self.insert_newer(now_ms, name, version) else { return };
@@ -126,7 +126,7 @@
         Some(weights)
     }
 
-    /// The known versions of `name`; `None` if none was announced.
+    /// The known versions of `name`; `None` if none was published.
     pub fn known_version(&self, now_ms: u64, name: &WeightsName) -> Option<KnownVersion> {
         let weights = self.weights.get(name)?;
         Some(KnownVersion {
@@ -136,7 +136,7 @@
         })
     }
 
-    /// The newest version of `name`; `None` if none was announced.
+    /// The newest version of `name`; `None` if none was published.
     pub fn newest(&self, name: &WeightsName) -> Option<u64> {
         self.weights.get(name).map(|weights| weights.newest)
     }
@@ -160,7 +160,7 @@
         Some(newer.due_at_ms)
     }
 
-    /// Returns true if no version was announced.
+    /// Returns true if no version was published.
     pub fn is_empty(&self) -> bool {
         self.weights.is_empty()
     }
--- a/src/relay/access.rs
+++ b/src/relay/access.rs
@@ -8,7 +8,7 @@
 use crate::routing::{Credential, KeyRefusal, Quota, Route, RouteTable, Workspace};
 
 /// `Retry-After` of a request that a gateway refuses because its list of valid keys may be
-/// outdated.
+/// stale.
 const KEYS_UNKNOWN_RETRY_MS: u64 = 300;
 
 /// The workspace that a request was authenticated for.
--- a/src/relay/choice.rs
+++ b/src/relay/choice.rs
@@ -42,7 +42,7 @@
 
 /// Selects one of `candidates` at random, weighted towards low cost; `draw` is random, from 0 to 1.
 ///
-/// Many gateways see the same outdated load counts. If each selected the cheapest endpoint, all of
+/// Many gateways see the same stale load counts. If each selected the cheapest endpoint, all of
 /// them would send to that one until the next counts arrive, and then to the next cheapest.
 pub(super) fn draw_weighted<'a>(candidates: &[Candidate<'a>], draw: f64) -> Option<Candidate<'a>> {
     let least_ms = cheapest(candidates)?.cost_ms;
--- a/src/relay/crashes.rs
+++ b/src/relay/crashes.rs
@@ -33,7 +33,7 @@
     standings: Mutex<Standings>,
     records: Mutex<CrashRecords>,
     served: Mutex<RecentlyServed>,
-    suspects: mpsc::UnboundedSender<Suspect>,
+    liveness_checks: mpsc::UnboundedSender<LivenessCheck>,
     outgoing: mpsc::UnboundedSender<SessionUp>,
 }
 
@@ -49,9 +49,9 @@
     silent_probed_at_ms: HashMap<Arc<str>, u64>,
 }
 
-/// An endpoint that may have ended.
+/// A check whether an endpoint that may have ended still runs.
 #[derive(Debug)]
-pub(super) struct Suspect {
+pub(super) struct LivenessCheck {
     /// The endpoint's incarnation.
     pub(super) id: Arc<str>,
     pub(super) service: Arc<str>,
@@ -69,15 +69,21 @@
 }
 
 impl CrashWatch {
-    /// Creates an empty record. Endpoints to probe are sent to `suspects`, messages for the leader
-    /// to `outgoing`.
+    /// Creates an empty record. Liveness checks to run are sent to `liveness_checks`, messages for
+    /// the leader to `outgoing`.
     pub(super) fn new(
         gateway: Arc<str>,
-        suspects: mpsc::UnboundedSender<Suspect>,
+        liveness_checks: mpsc::UnboundedSender<LivenessCheck>,
         outgoing: mpsc::UnboundedSender<SessionUp>,
     ) -> Self {
         let standings = Mutex::new(Standings::new(gateway));
-        Self { standings, records: Mutex::default(), served: Mutex::default(), suspects, outgoing }
+        Self {
+            standings,
+            records: Mutex::default(),
+            served: Mutex::default(),
+            liveness_checks,
+            outgoing,
+        }
     }
 
     pub(super) fn standings(&self) -> MutexGuard<'_, Standings> {
@@ -136,27 +142,27 @@
     pub(super) fn note_broken_run(
         &self,
         now_ms: u64,
-        suspect: Suspect,
+        check: LivenessCheck,
         sent_at_ms: u64,
         run: BrokenRun,
     ) -> bool {
         let mut records = self.records();
         // A request sent to an endpoint that had already ended cannot have caused the end.
-        if records.first_broken_ms(&suspect.id).is_some_and(|at_ms| at_ms <= sent_at_ms) {
+        if records.first_broken_ms(&check.id).is_some_and(|at_ms| at_ms <= sent_at_ms) {
             return false;
         }
-        if let Some(broken) = records.broken.get_mut(&suspect.id) {
+        if let Some(broken) = records.broken.get_mut(&check.id) {
             broken.runs.push(run);
             return true;
         }
-        records.broken.insert(suspect.id.clone(), Broken { since_ms: now_ms, runs: vec![run] });
+        records.broken.insert(check.id.clone(), Broken { since_ms: now_ms, runs: vec![run] });
         // The receiver lives as long as the process.
-        let _ = self.suspects.send(suspect);
+        let _ = self.liveness_checks.send(check);
         true
     }
 
-    /// Has an endpoint that has been silent for long probed, unless it was probed less than
-    /// [`SILENT_PROBE_INTERVAL_MS`] ago.
+    /// Queues a liveness check of an endpoint that has been silent for long, unless one was queued
+    /// less than [`SILENT_PROBE_INTERVAL_MS`] ago.
     pub(super) fn probe_silent(&self, now_ms: u64, endpoint: RegisteredEndpoint) {
         let mut records = self.records();
         records.silent_probed_at_ms.retain(|_, at_ms| now_ms < *at_ms + SILENT_PROBE_INTERVAL_MS);
@@ -165,9 +171,9 @@
         }
         records.silent_probed_at_ms.insert(endpoint.id.clone(), now_ms);
         let (id, service) = (endpoint.id.clone(), endpoint.service.clone());
-        let suspect = Suspect { id, service, endpoint: Some(endpoint), is_silent: true };
+        let check = LivenessCheck { id, service, endpoint: Some(endpoint), is_silent: true };
         // The receiver lives as long as the process.
-        let _ = self.suspects.send(suspect);
+        let _ = self.liveness_checks.send(check);
     }
 
     /// Handles a new incarnation in the endpoint's place: the responses that broke off shortly
@@ -185,7 +191,7 @@
         self.send_to_leader(SessionUp::Crashes(vec![crash]));
     }
 
-    /// Records that a suspected endpoint answered the probe or could not be reached.
+    /// Records that an endpoint answered the probe or could not be reached.
     pub(super) fn note_alive(&self, now_ms: u64, endpoint: &Arc<str>) {
         let mut records = self.records();
         let Some(broken) = records.broken.remove(endpoint) else { return };
@@ -200,7 +206,7 @@
         }
     }
 
-    /// Records that a suspected endpoint has ended, and reports the crash to the leader.
+    /// Records that an endpoint has ended, and reports the crash to the leader.
     pub(super) fn note_ended(&self, now_ms: u64, endpoint: &Arc<str>, service: &Arc<str>) {
         let mut records = self.records();
         let Some(Broken { since_ms, runs }) = records.broken.remove(endpoint) else { return };
--- a/src/relay/exchange.rs
+++ b/src/relay/exchange.rs
@@ -320,7 +320,7 @@
                     self.note_ended(&id, end);
                     self.note_failed(id, address);
                     self.handle_unknown_outcome(ENDPOINT_ENDED.to_owned())?;
-                    self.wait_for_verdict().await;
+                    self.wait_for_evaluation().await;
                 }
                 Attempt::Unknown(detail) => {
                     self.note_broken_off(&id);
@@ -403,7 +403,7 @@
                 return self.give_up(failure);
             }
             if ended_silently {
-                self.wait_for_verdict().await;
+                self.wait_for_evaluation().await;
             }
             started = match self.start(None).await {
                 Ok(started) => started,
--- a/src/relay/fleet.rs
+++ b/src/relay/fleet.rs
@@ -136,10 +136,10 @@
 
     /// Removes all endpoints except `ids`.
     pub fn keep_only(&mut self, ids: &[Arc<str>]) {
-        let prefix_cache: HashSet<&Arc<str>> = ids.iter().collect();
+        let kept: HashSet<&Arc<str>> = ids.iter().collect();
         let mut gone = Vec::new();
         for id in self.endpoints.keys() {
-            if !prefix_cache.contains(id) {
+            if !kept.contains(id) {
                 gone.push(id.clone());
             }
         }
@@ -287,7 +287,7 @@
     /// Records that `id` refused a request because it is full.
     pub fn refused(&mut self, now_ms: u64, id: &str) {
         if let Some(state) = self.endpoints.get_mut(id) {
-            state.closed_until_ms = state.closed_until_ms.max(now_ms + FULL_PAUSE_MS);
+            state.paused_until_ms = state.paused_until_ms.max(now_ms + FULL_PAUSE_MS);
         }
     }
 
@@ -311,7 +311,7 @@
         if let Some(state) = self.endpoints.get_mut(id) {
             let pause_ms = (FIRST_PAUSE_MS << state.failures.min(8)).min(PAUSE_MAX_MS);
             state.failures += 1;
-            state.closed_until_ms = now_ms + pause_ms;
+            state.paused_until_ms = now_ms + pause_ms;
             self.failing.insert(id.clone());
         }
     }
@@ -324,7 +324,7 @@
         if state.failures < FAILURES_TO_PAUSE {
             return;
         }
-        state.closed_until_ms =
+        state.paused_until_ms =
             now_ms + (FIRST_PAUSE_MS << state.failures.min(8)).min(PAUSE_MAX_MS);
         self.failing.insert(id.clone());
     }
@@ -333,7 +333,7 @@
     pub fn mark_ended(&mut self, now_ms: u64, id: &Arc<str>) {
         let Some(state) = self.endpoints.get_mut(id) else { return };
         state.failures += FAILURES_TO_PAUSE;
-        state.closed_until_ms = now_ms + PAUSE_MAX_MS;
+        state.paused_until_ms = now_ms + PAUSE_MAX_MS;
         self.failing.insert(id.clone());
     }
 
--- a/src/relay/gateway_count.rs
+++ b/src/relay/gateway_count.rs
@@ -1,16 +1,16 @@
 //! Counts the gateways that share a common allowance, such as the slack of the retry budget.
 //!
-//! A gateway that is cut off or frozen keeps the tokens that it has saved up, so the others must
-//! not divide by a smaller number at once: the largest number reported in the last window counts. A
-//! gateway that was out of touch with the leader at any time in that window takes no share. If it
-//! has just started, it does not know which other gateways still hold one; if it was cut off for a
-//! whole window, the others may now divide by a smaller number.
+//! A gateway that is disconnected or frozen keeps the tokens that it has saved up, so the others
+//! must not divide by a smaller number at once: the largest number reported in the last window
+//! counts. A gateway that was disconnected from the leader at any time in that window takes no
+//! share. If it has just started, it does not know which other gateways still hold one; if it was
+//! disconnected for a whole window, the others may now divide by a smaller number.
 //!
-//! Gateways that are cut off in turn are never counted together, so they divide by too small a
+//! Gateways that are disconnected in turn are never counted together, so they divide by too small a
 //! number; the fifth of the slack that the retry budget leaves unused also covers that.
 //!
 //! A new leader learns of the gateways one by one and may report only a few of them at first; the
-//! numbers reported before remain in the window. A gateway that moves between servers may be
+//! numbers reported before remain in the window. A gateway that moves between distributors may be
 //! counted twice for a moment, which only makes the shares smaller.
 
 use crate::policy::recent_max::RecentMax;
@@ -56,7 +56,7 @@
         Some(if self.is_in_touch(now_ms) { most } else { NO_SHARE })
     }
 
-    /// The largest number of the last window, even if this gateway was out of touch; `None` until a
+    /// The largest number of the last window, even if this gateway was disconnected; `None` until a
     /// number was reported.
     pub fn largest(&mut self, now_ms: u64) -> Option<u32> {
         self.reported.get(now_ms)
--- a/src/relay/held.rs
+++ b/src/relay/held.rs
@@ -7,7 +7,7 @@
 use tokio::time::timeout;
 use tracing::info;
 
-use super::crashes::Suspect;
+use super::crashes::LivenessCheck;
 use super::exchange::Exchange;
 use super::known::IncarnationEnd;
 use super::refusal::NotSent;
@@ -21,9 +21,9 @@
 /// The largest body that is hashed for the record of served contents while no request has a
 /// standing; the hash of a larger one costs too much CPU time.
 const SERVED_BODY_MAX_BYTES: usize = 64 << 10;
-/// How long the leader takes to judge a crash: it collects the gateways' reports, commits its
+/// How long the leader takes to evaluate a crash: it collects the gateways' reports, commits its
 /// decision and distributes it.
-const VERDICT_MS: u64 = 350;
+const EVALUATION_MS: u64 = 350;
 /// How long a request waits for the leader to allow a trial.
 const TRIAL_WAIT_MS: u64 = 300;
 /// `Retry-After` of a request that was allowed no trial in time.
@@ -49,13 +49,13 @@
             return;
         }
         let least_ms = if self.response_started_at_ms.is_some() { 0 } else { NOT_STARTED_RUN_MS };
-        let suspect = Suspect {
+        let check = LivenessCheck {
             id: known.id.clone(),
             service: known.service.clone(),
             endpoint: Some(known),
             is_silent: false,
         };
-        self.report_run(now_ms, suspect, ran_ms.max(least_ms));
+        self.report_run(now_ms, check, ran_ms.max(least_ms));
     }
 
     /// Records that `endpoint` was found to have ended without closing its connections.
@@ -70,33 +70,30 @@
         // An unreachable endpoint is probed again and counts as ended only once it is replaced.
         let is_unreachable = end == IncarnationEnd::Unreachable;
         let known = self.relay.fleet().endpoint(endpoint).filter(|_| is_unreachable);
-        let suspect = Suspect { id: endpoint.clone(), service, endpoint: known, is_silent: false };
-        self.report_run(
-            now_ms,
-            suspect,
-            self.last_data_at_ms.saturating_sub(response_started_at_ms),
-        );
+        let check =
+            LivenessCheck { id: endpoint.clone(), service, endpoint: known, is_silent: false };
+        self.report_run(now_ms, check, self.last_data_at_ms.saturating_sub(response_started_at_ms));
     }
 
-    fn report_run(&self, now_ms: u64, suspect: Suspect, ran_ms: u64) {
+    fn report_run(&self, now_ms: u64, check: LivenessCheck, ran_ms: u64) {
         let ran_ms = u32::try_from(ran_ms).unwrap_or(u32::MAX);
         let key = self.key();
         let served_ago_ms = self.relay.crashes.served_ago_ms(now_ms, &key);
         let run = BrokenRun { key, weights: self.meta.weights.clone(), ran_ms, served_ago_ms };
-        let is_evidence = self.relay.crashes.note_broken_run(now_ms, suspect, self.sent_at_ms, run);
+        let is_evidence = self.relay.crashes.note_broken_run(now_ms, check, self.sent_at_ms, run);
         if let (true, Some(trial)) = (is_evidence, &self.trial) {
             trial.mark_outcome_known();
         }
     }
 
-    /// Waits until the leader has judged the end of an endpoint that closed no connection.
+    /// Waits until the leader has evaluated the end of an endpoint that closed no connection.
     ///
     /// Without this wait a request that crashes its endpoints would reach the next one: all
     /// requests that waited at the ended endpoint are resent at the same moment, before the leader
     /// can know which of them caused the end.
-    pub(super) async fn wait_for_verdict(&self) {
+    pub(super) async fn wait_for_evaluation(&self) {
         let relay = &self.relay;
-        let until_ms = (relay.now_ms() + VERDICT_MS).min(self.ends_at_ms);
+        let until_ms = (relay.now_ms() + EVALUATION_MS).min(self.ends_at_ms);
         relay.clock.sleep_until(until_ms).await;
     }
 
--- a/src/relay/known.rs
+++ b/src/relay/known.rs
@@ -31,7 +31,7 @@
     /// The hash of the endpoint's address.
     pub(super) hash: u64,
     pub(super) failures: u32,
-    pub(super) closed_until_ms: u64,
+    pub(super) paused_until_ms: u64,
     pub(super) backoff: EndpointBackoff,
     /// The time until which the endpoint counts as leaving because a response announced it.
     pub(super) leaving_until_ms: u64,
@@ -90,7 +90,7 @@
             pace: ReadingPace::new(),
             prefix_cache: PrefixCache::new(),
             failures: 0,
-            closed_until_ms: 0,
+            paused_until_ms: 0,
             backoff: EndpointBackoff::default(),
             leaving_until_ms: 0,
             ended: None,
--- a/src/relay/limits.rs
+++ b/src/relay/limits.rs
@@ -9,8 +9,8 @@
 use crate::policy::recent_max::RecentMax;
 
 /// The window over which the highest reported demand of the other gateways counts: it covers their
-/// bursts and the requests in flight. A gateway that was out of touch within it does not rely on the
-/// reported demand.
+/// bursts and the requests in flight. A gateway that was disconnected within it does not rely on
+/// the reported demand.
 const OTHERS_WINDOW_MS: u64 = 4_000;
 
 /// A change of an endpoint's rate limit.
--- a/src/relay/liveness.rs
+++ b/src/relay/liveness.rs
@@ -10,7 +10,7 @@
 use tokio::time::timeout;
 use tracing::info;
 
-use super::crashes::Suspect;
+use super::crashes::LivenessCheck;
 use super::known::IncarnationEnd;
 use super::orders::EngineClient;
 use super::shared::Relay;
@@ -31,24 +31,24 @@
 /// A connection is established within one round trip, if at all.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Probes suspected endpoints for as long as the process runs.
+/// Runs the liveness checks that are received, for as long as the process runs.
 pub(super) async fn watch(
     relay: Arc<Relay>,
     engines: Arc<dyn EngineClient>,
-    mut suspects: mpsc::UnboundedReceiver<Suspect>,
+    mut liveness_checks: mpsc::UnboundedReceiver<LivenessCheck>,
 ) {
-    while let Some(suspect) = suspects.recv().await {
-        tokio::spawn(probe_suspect(relay.clone(), engines.clone(), suspect));
+    while let Some(check) = liveness_checks.recv().await {
+        tokio::spawn(run_check(relay.clone(), engines.clone(), check));
     }
 }
 
-async fn probe_suspect(relay: Arc<Relay>, engines: Arc<dyn EngineClient>, suspect: Suspect) {
-    if suspect.is_silent {
-        probe_silent(&relay, engines.as_ref(), suspect).await;
+async fn run_check(relay: Arc<Relay>, engines: Arc<dyn EngineClient>, check: LivenessCheck) {
+    if check.is_silent {
+        probe_silent(&relay, engines.as_ref(), check).await;
         return;
     }
     tokio::time::sleep(Duration::from_millis(COLLECT_MS)).await;
-    let Suspect { id, service, endpoint, .. } = suspect;
+    let LivenessCheck { id, service, endpoint, .. } = check;
     let liveness = match &endpoint {
         Some(endpoint) => {
             let is_engine = relay.table().is_engine(&service);
@@ -72,8 +72,8 @@
 
 /// Probes a silent endpoint until it answers, or has refused or ignored enough probes to count as
 /// ended.
-async fn probe_silent(relay: &Relay, engines: &dyn EngineClient, suspect: Suspect) {
-    let Suspect { id, service, endpoint: Some(endpoint), .. } = suspect else { return };
+async fn probe_silent(relay: &Relay, engines: &dyn EngineClient, check: LivenessCheck) {
+    let LivenessCheck { id, service, endpoint: Some(endpoint), .. } = check else { return };
     let is_engine = relay.table().is_engine(&service);
     let asked_at_ms = relay.now_ms();
     let mut refusals = 0;
--- a/src/relay/orders.rs
+++ b/src/relay/orders.rs
@@ -3,9 +3,9 @@
 //! Each endpoint gets its orders from a single gateway, its order holder, which is recorded in the
 //! replicated log, so that loads continue across a change of leader. A gateway sends orders only
 //! for a short time after the leader last confirmed its session; another gateway may order the same
-//! endpoint only after that time and the engine's own lease have passed. A gateway in a planned
-//! stop sends orders until its process ends: after a restart it continues as the same holder, which
-//! is faster than any change of holder.
+//! endpoint only after that time and the engine's order lease have passed. A gateway in a graceful
+//! shutdown sends orders until its process ends: after a restart it continues as the same holder,
+//! which is faster than any change of holder.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/src/relay/pick.rs
+++ b/src/relay/pick.rs
@@ -139,7 +139,7 @@
         if self.counts_demand {
             limits.note_request(self.now_ms, id);
         }
-        if state.closed_until_ms > self.now_ms || state.is_full(self.wanted.is_some()) {
+        if state.paused_until_ms > self.now_ms || state.is_full(self.wanted.is_some()) {
             return;
         }
         let backoff_ms = state.backoff.wait_ms(self.now_ms);
--- a/src/relay/pool.rs
+++ b/src/relay/pool.rs
@@ -36,12 +36,12 @@
 }
 
 /// Connections to all endpoints.
-pub struct Pool {
+pub struct ConnectionPool {
     clock: Clock,
     idle: Mutex<IdleConnections<Connection>>,
 }
 
-impl Pool {
+impl ConnectionPool {
     pub fn new(clock: Clock) -> Self {
         Self { clock, idle: Mutex::new(IdleConnections::new()) }
     }
--- a/src/relay/process.rs
+++ b/src/relay/process.rs
@@ -1,4 +1,4 @@
-//! Runs the process of a relay gateway from its start to a planned stop.
+//! Runs the process of a relay gateway from its start to a graceful shutdown.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,7 +26,7 @@
 use crate::settings::RelaySettings;
 use crate::wire::BoxFuture;
 
-/// How often a planned stop checks whether all requests have ended.
+/// How often a graceful shutdown checks whether all requests have ended.
 const STOP_POLL: Duration = Duration::from_millis(50);
 /// How often expired idle connections are dropped.
 const PRUNE_INTERVAL: Duration = Duration::from_secs(2);
@@ -54,11 +54,11 @@
         .map_err(|error| Error::io("watch signals", "process", error))?;
     let (needs, wanted) = mpsc::unbounded_channel();
     let (up, outgoing) = mpsc::unbounded_channel();
-    let (suspects, suspected) = mpsc::unbounded_channel();
-    let crashes = CrashWatch::new(settings.name.clone(), suspects, up);
+    let (liveness_checks, queued_checks) = mpsc::unbounded_channel();
+    let crashes = CrashWatch::new(settings.name.clone(), liveness_checks, up);
     let relay =
         Arc::new(Relay::new(settings.clone(), platform_headers, metrics.clone(), needs, crashes));
-    tokio::spawn(liveness::watch(relay.clone(), engines.clone(), suspected));
+    tokio::spawn(liveness::watch(relay.clone(), engines.clone(), queued_checks));
     let queues = session::Queues { needs: wanted, outgoing };
     tokio::spawn(session::run(relay.clone(), rand::rng().random(), queues, engines));
     tokio::spawn(prune(relay.clone()));
@@ -79,7 +79,7 @@
     let server = tokio::spawn(serve(clients, handler, limits, metrics, stopped));
     info!(event = "started", name = %settings.name, clients = %settings.listen_clients);
     terminate.recv().await;
-    planned_stop(&relay, &stop, server).await;
+    shut_down_gracefully(&relay, &stop, server).await;
     Ok(())
 }
 
@@ -99,7 +99,7 @@
 
 /// Reports not ready at once, serves requests on open connections for a while, then closes these
 /// when they are idle.
-async fn planned_stop(
+async fn shut_down_gracefully(
     relay: &Arc<Relay>,
     stop: &watch::Sender<bool>,
     server: tokio::task::JoinHandle<()>,
--- a/src/relay/prompt.rs
+++ b/src/relay/prompt.rs
@@ -15,7 +15,7 @@
 /// The smallest size that a part counts as. It keeps clients from filling a gateway's memory with
 /// empty parts; engines cache prompts in blocks of about this size.
 const PART_TOKENS_MIN: u32 = 16;
-/// The number of uses kept per part before outdated ones are dropped.
+/// The number of uses kept per part before stale ones are dropped.
 const USES_PER_PART_MAX: usize = 4;
 /// The number of uses that are always kept.
 const USES_MIN: usize = 256;
--- a/src/relay/quota.rs
+++ b/src/relay/quota.rs
@@ -23,9 +23,9 @@
 #[derive(Debug)]
 pub(super) struct QuotaGate {
     credits: Mutex<Credits>,
-    /// Notified when credit was granted or cannot be requested any more.
+    /// Notified when credit was granted or cannot be asked for any more.
     answered: Notify,
-    /// Notified when requests wait for credit that has not been requested yet.
+    /// Notified when requests wait for credit that has not been asked for yet.
     pub(super) wanted: Notify,
     clock: Clock,
 }
@@ -44,18 +44,18 @@
         self.credits.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records that credit can be requested from a server of the zone or from the leader.
+    /// Records that credit can be asked for: from the distributor of the zone or from the leader.
     pub(super) fn linked(&self) {
         self.credits().linked();
     }
 
-    /// Records that credit cannot be requested from anyone.
+    /// Records that credit cannot be asked for.
     pub(super) fn unlinked(&self) {
         self.credits().unlinked();
         self.answered.notify_waiters();
     }
 
-    /// Returns the credit requests to send now.
+    /// Returns the asks to send now.
     pub(super) fn take_asks(&self) -> Vec<CreditAsk> {
         self.credits().take_asks(self.clock.now_ms())
     }
@@ -67,13 +67,13 @@
                 info!(event = "quota_used_up", workspace = %workspace, granted = units, dry_ms);
             }
         }
-        let has_wanting = {
+        let has_urgent_ask = {
             let mut credits = self.credits();
             credits.granted(self.clock.now_ms(), grants);
             credits.has_urgent_ask(self.clock.now_ms())
         };
         self.answered.notify_waiters();
-        if has_wanting {
+        if has_urgent_ask {
             self.wanted.notify_one();
         }
     }
@@ -131,7 +131,7 @@
     }
 }
 
-/// The units that a request consumed; given back if it was not sent.
+/// The units that a request used; returned if it was not sent.
 pub(super) struct UsedCredit {
     relay: Arc<Relay>,
     workspace: Arc<str>,
@@ -157,7 +157,7 @@
         Ok(Self { relay: relay.clone(), workspace: workspace.name.clone(), cost })
     }
 
-    /// Gives the units back because the request did not run and will not.
+    /// Returns the units because the request did not run and will not.
     pub(super) fn give_back(&self) {
         let gate = &self.relay.quota;
         gate.credits().give_back(gate.clock.now_ms(), &self.workspace, self.cost);
--- a/src/relay/refusal.rs
+++ b/src/relay/refusal.rs
@@ -40,7 +40,7 @@
         /// The time after which the client may retry.
         after_ms: u64,
     },
-    /// This gateway's list of valid keys may be outdated.
+    /// This gateway's list of valid keys may be stale.
     KeysUnknown {
         /// The time after which the client may retry.
         after_ms: u64,
--- a/src/relay/replaced.rs
+++ b/src/relay/replaced.rs
@@ -30,17 +30,17 @@
         self
     }
 
-    /// Records a version that was named the newest one at `now_ms` or later.
+    /// Records a version that was published at `now_ms` or later.
     pub fn set_newest(&mut self, now_ms: u64, name: WeightsName, version: u64) {
         self.versions.record(now_ms, name, version);
     }
 
-    /// Records a version that was named the newest one at an unknown earlier time.
+    /// Records a version that was published at an unknown earlier time.
     pub fn learn_newest(&mut self, now_ms: u64, name: WeightsName, version: u64) {
         self.versions.record_with_unknown_age(now_ms, name, version);
     }
 
-    /// The known versions of the weights; `None` if they were never renewed.
+    /// The known versions of the weights; `None` if no version was published.
     pub fn known_version(&self, now_ms: u64, name: &WeightsName) -> Option<KnownVersion> {
         let known = self.versions.known_version(now_ms, name)?;
         Some(KnownVersion { due: self.version_due(now_ms, name), ..known })
--- a/src/relay/session.rs
+++ b/src/relay/session.rs
@@ -161,7 +161,7 @@
                 send(&mut sender, &SessionUp::Needs(needs)).await?;
             }
             () = relay.quota.wanted.notified(), if is_welcome => {
-                request_credit(relay, &mut sender).await?;
+                ask_for_credit(relay, &mut sender).await?;
             }
             Some(result) = ordered.recv() => {
                 send(&mut sender, &SessionUp::Ordered(result)).await?;
@@ -171,7 +171,7 @@
                 if !loads.is_empty() || !used.is_empty() || !failing.is_empty() {
                     send(&mut sender, &SessionUp::Traffic { loads, used, failing }).await?;
                 }
-                request_credit(relay, &mut sender).await?;
+                ask_for_credit(relay, &mut sender).await?;
             }
             () = relay.clock.sleep_until(opened_at_ms + FIRST_MESSAGE_TIMEOUT_MS), if last_message_at_ms == opened_at_ms => {
                 return Err(Error::timeout("open session", address.to_string(), FIRST_MESSAGE_TIMEOUT_MS));
@@ -197,8 +197,8 @@
     }
 }
 
-/// Requests the credit that requests wait for, or will soon need.
-async fn request_credit(relay: &Relay, sender: &mut Sender<SessionUp>) -> Result<()> {
+/// Asks for the credit that requests wait for, or will soon need.
+async fn ask_for_credit(relay: &Relay, sender: &mut Sender<SessionUp>) -> Result<()> {
     let asks = relay.quota.take_asks();
     if asks.is_empty() {
         return Ok(());
@@ -219,7 +219,7 @@
     order: EngineOrder,
 ) -> OrderResult {
     let (number, endpoint, kind) = (order.number, order.endpoint.clone(), order.kind.clone());
-    let outcome = engines.carry_out(order, relay.order_lease.clone()).await;
+    let outcome = engines.carry_out(order, relay.send_lease.clone()).await;
     OrderResult { number, endpoint, kind, outcome }
 }
 
--- a/src/relay/shared.rs
+++ b/src/relay/shared.rs
@@ -1,5 +1,5 @@
 //! The state that all requests of a relay share: routes, endpoints, connections, retry budgets and
-//! the order lease.
+//! the send lease.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
@@ -15,7 +15,7 @@
 use super::fleet::Fleet;
 use super::gateway_count::{GatewayCount, NO_SHARE};
 use super::orders::SendLease;
-use super::pool::Pool;
+use super::pool::ConnectionPool;
 use super::quota::QuotaGate;
 use crate::clock::Clock;
 use crate::message::{AdapterNeed, Change, NewestVersion, Placed, WeightsName};
@@ -38,11 +38,11 @@
     pub settings: RelaySettings,
     pub metrics: Metrics,
     pub(super) platform_headers: Arc<dyn PlatformHeaders>,
-    pub(super) pool: Pool,
+    pub(super) pool: ConnectionPool,
     pub(super) changed: Notify,
     /// Notified when a newer version of weights becomes known.
     pub(super) version_known: Notify,
-    pub(super) order_lease: SendLease,
+    pub(super) send_lease: SendLease,
     pub(super) quota: QuotaGate,
     pub(super) clock: Clock,
     fleet: Mutex<Fleet>,
@@ -73,10 +73,10 @@
             settings,
             metrics,
             platform_headers,
-            pool: Pool::new(clock),
+            pool: ConnectionPool::new(clock),
             changed: Notify::new(),
             version_known: Notify::new(),
-            order_lease: SendLease::new(clock),
+            send_lease: SendLease::new(clock),
             quota: QuotaGate::new(clock),
             clock,
             fleet: Mutex::new(fleet),
@@ -126,7 +126,7 @@
         if before_ms == 0 {
             self.changed.notify_waiters();
         }
-        self.order_lease.confirm(sent_at_ms);
+        self.send_lease.confirm(sent_at_ms);
         self.gateways().note_confirmed(sent_at_ms);
         self.fleet().note_confirmed(sent_at_ms);
     }
@@ -157,19 +157,19 @@
         (confirmed_at_ms + lease_ms).saturating_sub(now_ms)
     }
 
-    /// True from the time requests can be served until a planned stop begins.
+    /// True from the time requests can be served until a graceful shutdown begins.
     pub fn is_ready(&self) -> bool {
         let table = self.table();
         let serves = !table.needs_key_everywhere() || self.keys_valid_ms(self.now_ms()) > 0;
         table.version() > 0 && self.has_been_confirmed() && serves && !self.is_stopping()
     }
 
-    /// Starts a planned stop.
+    /// Starts a graceful shutdown.
     pub fn stop(&self) {
         self.stopping.store(true, Ordering::Relaxed);
     }
 
-    /// True once a planned stop has begun.
+    /// True once a graceful shutdown has begun.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
@@ -186,8 +186,8 @@
         // A version that arrives now was accepted after the last confirmed renewal was sent,
         // perhaps right after it. If the message was delayed, the version must not count as named
         // only now.
-        let named_since_ms = now_ms.min(self.confirmed_at_ms.load(Ordering::Relaxed));
-        let mut names_version = false;
+        let published_since_ms = now_ms.min(self.confirmed_at_ms.load(Ordering::Relaxed));
+        let mut has_new_version = false;
         let mut ids = Vec::new();
         let mut requests = HashSet::new();
         let is_long = changes.len() > LOGGED_CHANGES_MAX;
@@ -228,11 +228,11 @@
                 }
                 Change::Version(newest) => {
                     let NewestVersion { name, version } = newest;
-                    let age_ms = now_ms - named_since_ms;
+                    let age_ms = now_ms - published_since_ms;
                     info!(event = "weights_version_known", weights = %name, version, age_ms);
                     log_held_older(&fleet, now_ms, &name, version);
-                    fleet.set_newest(named_since_ms, name, version);
-                    names_version = true;
+                    fleet.set_newest(published_since_ms, name, version);
+                    has_new_version = true;
                 }
                 Change::VersionOfUnknownAge(newest) => {
                     let NewestVersion { name, version } = newest;
@@ -241,7 +241,7 @@
                         info!(event = "weights_version_known", weights = %name, version, age);
                     }
                     fleet.learn_newest(now_ms, name, version);
-                    names_version = true;
+                    has_new_version = true;
                 }
                 Change::Request(standing) => {
                     requests.insert(standing.key);
@@ -256,7 +256,7 @@
         }
         drop(fleet);
         self.changed.notify_waiters();
-        if names_version {
+        if has_new_version {
             self.version_known.notify_waiters();
         }
     }
--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -147,7 +147,7 @@
         return Err(broken());
     }
     if end.is_some() {
-        exchange.wait_for_verdict().await;
+        exchange.wait_for_evaluation().await;
     }
     let Ok(started) = exchange.start(last_event).await else { return Err(broken()) };
     info!(
--- a/src/routing/workspace.rs
+++ b/src/routing/workspace.rs
@@ -59,7 +59,7 @@
 pub enum QuotaUnit {
     /// Each request counts as one.
     Requests,
-    /// The tokens of a request's prompt and the maximum number of tokens of its answer.
+    /// The tokens of a request's prompt and the maximum number of tokens of its response.
     Tokens {
         /// The number of tokens of a request that does not state any.
         plain: u32,
@@ -83,7 +83,7 @@
         self.burst.max(self.rate_per_s)
     }
 
-    /// The cost of a request with `tokens` in its prompt and answer, `None` if it does not state
+    /// The cost of a request with `tokens` in its prompt and response, `None` if it does not state
     /// any.
     pub fn cost(&self, tokens: Option<u64>) -> u64 {
         match self.unit {
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -129,7 +129,7 @@
     assert_eq!(registry.register(incarnation("one", 200, 7_001)).len(), 1);
     assert!(
         registry.end(&end("one", Some(100))).is_empty(),
-        "a late end of the former incarnation"
+        "a late end of the previous incarnation"
     );
     assert_eq!(registry.named("one"), Some(&incarnation("one", 200, 7_001)));
     assert_eq!(registry.end(&end("one", None)).len(), 1, "the registered incarnation");
--- a/tests/restarts.rs
+++ b/tests/restarts.rs
@@ -195,7 +195,7 @@
 /// Guards against requests to an endpoint that restarts under its id, is served, and deregisters
 /// without a birth time 0.3 s later: of the next 40 requests, 15 to 20 still went to it although
 /// another endpoint had taken over. A deregistration without a birth time within 10 s of a restart
-/// may belong to the former incarnation, and was ignored.
+/// may belong to the previous incarnation, and was ignored.
 #[test]
 fn an_end_without_a_birth_time_right_after_a_restart_stops_new_requests() {
     let mut leader = Leader::new();
@@ -234,8 +234,8 @@
     }
 }
 
-/// Guards against a late deregistration of the former incarnation that ends the running one for
-/// good after a change of leader: restarts were known only in the memory of the former leader.
+/// Guards against a late deregistration of the previous incarnation that ends the running one for
+/// good after a change of leader: restarts were known only in the memory of the previous leader.
 #[test]
 fn a_late_end_that_reaches_the_next_leader_ends_no_running_incarnation() {
     let mut leader = Leader::new();
