--- a/src/control/replica/registration.rs
+++ b/src/control/replica/registration.rs
@@ -21,7 +21,7 @@
 };
 use crate::policy::counts;
 use crate::policy::crashes::Crashes;
-use crate::policy::quota::{Pools, QuotaBounds};
+use crate::policy::quota::{CreditPools, QuotaBounds};
 use crate::routing::RoutingConfiguration;
 
 /// Interval between records of new copies of weights: each record costs a synced log entry, each
@@ -48,7 +48,7 @@
     pub(super) counts: Counts,
     pub(super) crashes: Crashes,
     /// Quota credit of workspaces.
-    pub(super) credit: Pools,
+    pub(super) credit: CreditPools,
 }
 
 impl Registered {
@@ -65,7 +65,7 @@
             copies_due_ms: 0,
             counts: Counts::new(),
             crashes: Crashes::default(),
-            credit: Pools::new(quota),
+            credit: CreditPools::new(quota),
         }
     }
 }
@@ -95,11 +95,11 @@
         registered.ticked_at_ms = now_ms;
         registered.group_sent = Group::default();
         registered.counts = Counts::new();
-        registered.credit = Pools::new(self.settings.quota);
+        registered.credit = CreditPools::new(self.settings.quota);
         if let Some(configuration) = self.state.registry.routing() {
-            registered.credit = Pools::new(self.settings.quota)
-                .with_earlier_leader(now_ms, configuration)
-                .with_earlier_term_age(previous_term_age_ms.unwrap_or(0));
+            registered.credit = CreditPools::new(self.settings.quota)
+                .with_previous_leader(now_ms, configuration)
+                .with_previous_term_age(previous_term_age_ms.unwrap_or(0));
         }
         let standings = self.state.registry.standings().cloned();
         registered.crashes = Crashes::new(now_ms, standings);
@@ -206,7 +206,7 @@
         let differs = known != Some(&heartbeat.endpoint);
         let was_leaving = known.is_some_and(|known| known.leaving);
         if heartbeat.endpoint.leaving {
-            // An endpoint that announced its stop is not used again.
+            // An endpoint that announced its shutdown is not used again.
             self.registered.uncertain_ends.record_leaving(id);
         }
         let is_new = if was_leaving { self.confirm_running(&heartbeat) } else { differs };
@@ -376,7 +376,9 @@
                 let up = SessionUp::Traffic { loads: Vec::new(), used, failing };
                 self.handle_gateway_message(now_ms, wall_ms, &from, up);
             }
-            SessionUp::CreditAsks(asks) => self.answer_credit(now_ms, id, &from.gateway, &asks),
+            SessionUp::CreditAsks(asks) => {
+                self.answer_credit_asks(now_ms, id, &from.gateway, &asks);
+            }
             SessionUp::Heartbeats(heartbeats) => {
                 for heartbeat in heartbeats {
                     self.process_heartbeat(now_ms, wall_ms, heartbeat, Waiter::NoReply);
@@ -405,7 +407,7 @@
             }
             SessionUp::Traffic { used, failing, .. } => {
                 self.registered.placement.used(now_ms, from, used);
-                self.registered.placement.mark_endpoints_unreachable(now_ms, &failing);
+                self.registered.placement.mark_endpoints_failing(now_ms, &failing);
             }
             SessionUp::Crashes(crashes) => self.record_crashes(now_ms, wall_ms, crashes),
             SessionUp::Served(key) => {
@@ -414,7 +416,7 @@
                 self.propose_standings(wall_ms);
             }
             SessionUp::AskForTrial(key) => {
-                self.registered.crashes.request_trial(now_ms, key, &from.gateway);
+                self.registered.crashes.grant_trial(now_ms, key, &from.gateway);
                 self.propose_standings(wall_ms);
             }
             SessionUp::ServedBefore { key, ago_ms } => {
@@ -515,7 +517,7 @@
         });
     }
 
-    /// The adapters on endpoints, as far as this leader knows.
+    /// The weights that endpoints hold, as far as this leader knows.
     pub fn all_placed(&self) -> Vec<Placed> {
         self.registered.placement.all_placed()
     }
