--- a/src/message/session.rs
+++ b/src/message/session.rs
@@ -147,7 +147,7 @@
     /// The gateway.
     pub gateway: Arc<str>,
     /// The message.
-    #[serde(deserialize_with = "deserialize_relayed")]
+    #[serde(deserialize_with = "read_told")]
     pub up: SessionUp,
 }
 
@@ -158,7 +158,7 @@
 
 /// Deserializes the message of a gateway and rejects a nested [`Forwarded`] message: otherwise the
 /// sender could choose the nesting depth and overflow the receiver's stack.
-fn deserialize_relayed<'de, D: Deserializer<'de>>(deserializer: D) -> Result<SessionUp, D::Error> {
+fn read_told<'de, D: Deserializer<'de>>(deserializer: D) -> Result<SessionUp, D::Error> {
     if IN_FORWARDED.replace(true) {
         return Err(D::Error::custom("gateways forward nothing"));
     }
