--- a/src/control/permit.rs
+++ b/src/control/permit.rs
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Revokes a permit whose requester has gone.
+    /// Revokes a permit whose gateway no longer waits for the answer.
     pub fn revoke(&mut self, id: u64) {
         self.granted.remove(&id);
     }
